--- a/Makefile
+++ b/Makefile
@@ -25,6 +25,7 @@
 	.venv/bin/pip -q install -r requirements-dev.txt
 
 lint: dev
+	.venv/bin/ruff format --check .
 	.venv/bin/ruff check .
 	.venv/bin/mypy
 
@@ -35,4 +36,4 @@
 	exec .venv/bin/python -m stoatgw
 
 sim: build
-	exec .venv/bin/python -m stoatgw.simwire
+	exec .venv/bin/python -m stoatgw.simulator_wire
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -22,9 +22,15 @@
 
     def listed(self) -> dict[str, object]:
         return {
-            "instanceId": self.name, "hostPort": f"127.0.0.1:{self.port}", "zone": "near",
-            "machineType": "toy", "cell": 0, "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 0,
-        }  # fmt: skip
+            "instanceId": self.name,
+            "hostPort": f"127.0.0.1:{self.port}",
+            "zone": "near",
+            "machineType": "toy",
+            "cell": 0,
+            "lifecycle": "SERVING",
+            "weight": 1.0,
+            "startedAtMs": 0,
+        }
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(ConnectionError):
--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -9,30 +9,30 @@
 from typing import Protocol
 
 from stoatgw.backends.backend import Backend
-from stoatgw.decisions.interface import Status
-from stoatgw.lines.grammar import Word, read_reply
-from stoatgw.lines.splitter import Splitter
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import AttemptEnd, Stage
+from stoatgw.clock import Clock
+from stoatgw.controller.messages import AttemptEnd, AttemptStage
+from stoatgw.decisions.interface import AttemptStatus
+from stoatgw.line_protocol.grammar import Keyword, parse_reply
+from stoatgw.line_protocol.splitter import LineSplitter
 from stoatgw.sockets import calls
 
 BUFFER = 8192  # bytes read at once
 PARTING_MOST = 1 << 30  # a backend's bytes on their way, however many: its time is what bounds them
 REFUSALS = {
-    Word.BYE: Status.DELIVERED,
-    Word.MOVE: Status.REVOKED,
-    Word.BUSY: Status.SHED,
-    Word.ERR: Status.APP_ERROR,
+    Keyword.BYE: AttemptStatus.DELIVERED,
+    Keyword.MOVE: AttemptStatus.REVOKED,
+    Keyword.BUSY: AttemptStatus.SHED,
+    Keyword.ERR: AttemptStatus.APP_ERROR,
 }
 Row = Callable[[dict[str, float]], tuple[float | None, ...]]
 
 
-class Listener(Protocol):
+class RelayListener(Protocol):
     """The client's side of a standing connection."""
 
-    def heard(self, lines: list[bytes]) -> None: ...
+    def lines_received(self, lines: list[bytes]) -> None: ...
 
-    def pass_on(self, data: bytes) -> Awaitable[None]: ...
+    def forward(self, data: bytes) -> Awaitable[None]: ...
 
 
 class Attempt:
@@ -42,10 +42,10 @@
         self._backend, self._clock, self._row = backend, clock, row
         self._dial_us, self._grace_us, self._sent = dial_us, grace_us, sent
         self._sock: socket.socket | None = None
-        self._splitter = Splitter()
-        self._last = Word.OTHER
+        self._splitter = LineSplitter()
+        self._last = Keyword.OTHER
         self._with_up: list[bytes] = []  # whole lines that came in one piece with UP
-        self.stage = Stage.CONNECTING
+        self.stage = AttemptStage.CONNECTING
         self.receipt = b""  # the UP line and what came with it, as it came
         self.reset = False  # the backend ended with a reset
 
@@ -55,7 +55,7 @@
         try:
             sock = self._sock = calls.make()
         except OSError as error:  # no descriptor is left: nothing is said of the backend
-            return self._end(Status.UNUSED, str(error))
+            return self._end(AttemptStatus.UNUSED, str(error))
         try:
             wait_us = cut_at_us - self._clock.now_us()
             async with asyncio.timeout(min(self._dial_us, wait_us) / 1e6) as limit:
@@ -63,45 +63,45 @@
                 now_us = self._clock.now_us()
                 # Guards the window of a repeat: connecting may have outlasted it.
                 if begin_by_us and now_us >= begin_by_us:
-                    return self._end(Status.DIAL_FAILED, "too late to repeat")
+                    return self._end(AttemptStatus.DIAL_FAILED, "too late to repeat")
                 # Guards the drain rule: connecting may have outlasted the grace.
-                if not self._backend.may_send(now_us, self._grace_us):
-                    return self._end(Status.DIAL_FAILED, "it left meanwhile")
+                if not self._backend.accepts_new_sessions(now_us, self._grace_us):
+                    return self._end(AttemptStatus.DIAL_FAILED, "it left meanwhile")
                 if now_us >= cut_at_us:
-                    return self._end(Status.DIAL_FAILED, "no time left")
+                    return self._end(AttemptStatus.DIAL_FAILED, "no time left")
                 limit.reschedule(loop.time() + (cut_at_us - now_us) / 1e6)
-                self.stage = Stage.SENDING
+                self.stage = AttemptStage.SENDING
                 await calls.send_whole(sock, line((cut_at_us - now_us) // 1000))
-                self.stage = Stage.SENT
+                self.stage = AttemptStage.SENT
                 self._sent()
                 return await self._first(loop, sock)
         except TimeoutError:
-            status = Status.EXPIRED if self.stage is Stage.SENT else Status.DIAL_FAILED
+            status = AttemptStatus.EXPIRED if self.stage is AttemptStage.SENT else AttemptStatus.DIAL_FAILED
             return self._end(status, "timed out")
         except OSError as error:
             # A line that was not wholly written never ran.
-            status = Status.DROPPED if self.stage is Stage.SENT else Status.DIAL_FAILED
+            status = AttemptStatus.DROPPED if self.stage is AttemptStage.SENT else AttemptStatus.DIAL_FAILED
             return self._end(status, str(error))
 
     async def _first(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> AttemptEnd | None:
         while True:
             data = await loop.sock_recv(sock, BUFFER)
             if not data:
-                return self._end(Status.DROPPED, "ended without a word")
+                return self._end(AttemptStatus.DROPPED, "ended without a word")
             self.receipt += data
             lines = self._splitter.feed(data)
             if lines:
-                reply = read_reply(lines[0])
-                if reply.word is Word.UP:
-                    self.stage = Stage.UP
+                reply = parse_reply(lines[0])
+                if reply.keyword is Keyword.UP:
+                    self.stage = AttemptStage.ESTABLISHED
                     self._with_up = lines[1:]
                     return None
-                status = REFUSALS.get(reply.word, Status.APP_ERROR)
-                return self._end(status, lines[0][:60].decode("ascii", "replace"), reply.report)
-            if self._splitter.overlong:
-                return self._end(Status.APP_ERROR, "overlong line")
+                status = REFUSALS.get(reply.keyword, AttemptStatus.APP_ERROR)
+                return self._end(status, lines[0][:60].decode("ascii", "replace"), reply.load_report)
+            if self._splitter.is_overlong:
+                return self._end(AttemptStatus.APP_ERROR, "overlong line")
 
-    async def relay(self, listener: Listener) -> AttemptEnd:
+    async def relay(self, listener: RelayListener) -> AttemptEnd:
         """Pass all on until the backend ends the connection."""
         loop = asyncio.get_running_loop()
         assert self._sock is not None  # it is up
@@ -110,18 +110,18 @@
             # No buffer is held while nothing comes: most connections wait most of the time.
             while data := await loop.sock_recv(self._sock, BUFFER):
                 self._hear(self._splitter.feed(data), listener)
-                await listener.pass_on(data)
+                await listener.forward(data)
         except OSError as error:
             self.reset = True
-            if self._last not in (Word.BYE, Word.MOVE):
-                return self._end(Status.DROPPED, str(error))
-        ended = {Word.BYE: Status.DELIVERED, Word.MOVE: Status.REVOKED}
-        return self._end(ended.get(self._last, Status.DROPPED), "ended by the backend")
+            if self._last not in (Keyword.BYE, Keyword.MOVE):
+                return self._end(AttemptStatus.DROPPED, str(error))
+        ended = {Keyword.BYE: AttemptStatus.DELIVERED, Keyword.MOVE: AttemptStatus.REVOKED}
+        return self._end(ended.get(self._last, AttemptStatus.DROPPED), "ended by the backend")
 
-    def _hear(self, lines: list[bytes], listener: Listener) -> None:
+    def _hear(self, lines: list[bytes], listener: RelayListener) -> None:
         if lines:
-            self._last = read_reply(lines[-1]).word
-            listener.heard(lines)
+            self._last = parse_reply(lines[-1]).keyword
+            listener.lines_received(lines)
 
     async def send(self, data: bytes) -> None:
         if self._sock is not None:
@@ -142,5 +142,5 @@
         if self._sock is not None:
             await calls.close_after(self._sock, b"", wait_s, PARTING_MOST)
 
-    def _end(self, status: Status, why: str, report: dict[str, float] | None = None) -> AttemptEnd:
+    def _end(self, status: AttemptStatus, why: str, report: dict[str, float] | None = None) -> AttemptEnd:
         return AttemptEnd(status, self.stage, why, self._row(report) if report else ())
--- a/stoatgw/backends/backend.py
+++ b/stoatgw/backends/backend.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from stoatgw.decisions.interface import Lifecycle, ServerEntry
+from stoatgw.decisions.interface import Endpoint, Lifecycle
 
 GRACE_GUARD_US = 100_000  # a first byte leaves so long before the drain grace ends, at the latest
 
@@ -15,18 +15,18 @@
     name: str
     host: str
     port: int
-    leaving_us: int | None = None  # when this proxy was told that it drains or is gone
+    draining_since_us: int | None = None  # when this proxy was told that it drains or is gone
 
     @property
     def address(self) -> tuple[bytes, int]:
         """For connecting: given as text, a host goes through the idna codec each time, a quarter of a connect."""
         return self.host.encode(), self.port
 
-    def may_send(self, now_us: int, grace_us: int) -> bool:
-        return self.leaving_us is None or now_us < self.leaving_us + grace_us - GRACE_GUARD_US
+    def accepts_new_sessions(self, now_us: int, grace_us: int) -> bool:
+        return self.draining_since_us is None or now_us < self.draining_since_us + grace_us - GRACE_GUARD_US
 
 
-class Backends:
+class BackendRegistry:
     """All backends by name. One that is gone is kept: connections may stand on it still."""
 
     def __init__(self) -> None:
@@ -36,28 +36,26 @@
         return self._backends.get(name)
 
     @property
-    def known(self) -> bool:
+    def has_endpoints(self) -> bool:
         """Whether any was ever listed: before that nothing can be served."""
         return bool(self._backends)
 
-    def listed(
-        self, rows: Iterable[tuple[ServerEntry, str, int]], whole: bool, now_us: int
-    ) -> list[Backend]:
+    def update(self, rows: Iterable[tuple[Endpoint, str, int]], whole: bool, now_us: int) -> list[Backend]:
         """Take news of the list; gives the backends that are leaving since."""
         left: list[Backend] = []
         seen = set()
         for entry, host, port in rows:
-            seen.add(entry.server)
-            backend = self._backends.setdefault(entry.server, Backend(entry.server, host, port))
+            seen.add(entry.name)
+            backend = self._backends.setdefault(entry.name, Backend(entry.name, host, port))
             backend.host, backend.port = host, port
-            if entry.lifecycle is Lifecycle.ON:
-                backend.leaving_us = None
-            elif backend.leaving_us is None:
-                backend.leaving_us = now_us
+            if entry.lifecycle is Lifecycle.ACTIVE:
+                backend.draining_since_us = None
+            elif backend.draining_since_us is None:
+                backend.draining_since_us = now_us
                 left.append(backend)
         if whole:
             for backend in self._backends.values():
-                if backend.name not in seen and backend.leaving_us is None:
-                    backend.leaving_us = now_us
+                if backend.name not in seen and backend.draining_since_us is None:
+                    backend.draining_since_us = now_us
                     left.append(backend)
         return left
--- a/stoatgw/backends/probe.py
+++ b/stoatgw/backends/health_check.py
@@ -7,11 +7,11 @@
 import socket
 
 from stoatgw.backends.backend import Backend
-from stoatgw.decisions.interface import Status
-from stoatgw.lines.grammar import STATS, Reply, Word, read_reply
-from stoatgw.lines.splitter import Splitter
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import Inbox, Probed
+from stoatgw.clock import Clock
+from stoatgw.controller.messages import HealthCheckCompleted, MessageQueue
+from stoatgw.decisions.interface import AttemptStatus
+from stoatgw.line_protocol.grammar import STATS, Keyword, Reply, parse_reply
+from stoatgw.line_protocol.splitter import LineSplitter
 from stoatgw.sockets import calls
 from stoatgw.telemetry.counters import Counters
 
@@ -28,26 +28,26 @@
 }
 
 
-class Columns:
+class LoadReportSchema:
     """A report by name, put in the order of the settings' columns."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
         self._names = [(column, FIELDS.get(column, column)) for column in columns]
 
-    def row(self, report: dict[str, float]) -> tuple[float | None, ...]:
+    def to_row(self, report: dict[str, float]) -> tuple[float | None, ...]:
         return tuple(report.get(field, report.get(column)) for column, field in self._names)
 
 
-class Prober:
+class HealthChecker:
     def __init__(
-        self, owner: Inbox, clock: Clock, columns: Columns, dial_us: int, counters: Counters
+        self, owner: MessageQueue, clock: Clock, columns: LoadReportSchema, dial_us: int, counters: Counters
     ) -> None:
         self._owner, self._clock, self._columns = owner, clock, columns
         self._dial_s, self._counters = dial_us / 1e6, counters
         self._kept: dict[str, socket.socket] = {}
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
-    def probe(self, backend: Backend) -> None:
+    def check(self, backend: Backend) -> None:
         running = self._tasks.get(backend.name)
         if running is not None and not running.done():
             return  # one at a time: its result is this one's too
@@ -65,7 +65,7 @@
 
     async def _probe(self, backend: Backend) -> None:
         began_us = self._clock.now_us()
-        status, row = Status.DIAL_FAILED, tuple[float | None, ...]()
+        status, row = AttemptStatus.DIAL_FAILED, tuple[float | None, ...]()
         sock, reply = self._kept.pop(backend.name, None), None
         try:
             async with asyncio.timeout(TIME_LIMIT_S):
@@ -79,22 +79,22 @@
                 if sock is None or reply is None:
                     sock = calls.make()
                     await self._connect(sock, backend)
-                    status = Status.DROPPED
+                    status = AttemptStatus.DROPPED
                     reply = await self._ask(sock)
-            status = Status.DELIVERED if reply.word is Word.PONG else Status.APP_ERROR
-            row = self._columns.row(reply.report) if reply.rest else ()
-            if reply.word is Word.PONG and backend.leaving_us is None:
+            status = AttemptStatus.DELIVERED if reply.keyword is Keyword.PONG else AttemptStatus.APP_ERROR
+            row = self._columns.to_row(reply.load_report) if reply.fields else ()
+            if reply.keyword is Keyword.PONG and backend.draining_since_us is None:
                 self._keep(backend.name, sock)
                 sock = None
         except TimeoutError:
-            status = Status.DIAL_FAILED if status is Status.DIAL_FAILED else Status.EXPIRED
+            status = AttemptStatus.DIAL_FAILED if status is AttemptStatus.DIAL_FAILED else AttemptStatus.EXPIRED
         except OSError:
             pass
         finally:
             if sock is not None:
                 calls.close(sock)
             self._counters.add(f"probes_{status.value}")
-            self._owner.put(Probed(backend.name, status, self._clock.now_us() - began_us, row))
+            self._owner.post(HealthCheckCompleted(backend.name, status, self._clock.now_us() - began_us, row))
 
     def _keep(self, name: str, sock: socket.socket) -> None:
         """The least lately used goes: among many backends each rests until it is closed from there."""
@@ -107,7 +107,7 @@
             await asyncio.get_running_loop().sock_connect(sock, backend.address)
 
     async def _ask(self, sock: socket.socket) -> Reply:
-        loop, splitter, buffer = asyncio.get_running_loop(), Splitter(), bytearray(4096)
+        loop, splitter, buffer = asyncio.get_running_loop(), LineSplitter(), bytearray(4096)
         await loop.sock_sendall(sock, STATS + b"\r\n")
         while True:
             count = await loop.sock_recv_into(sock, buffer)
@@ -115,8 +115,8 @@
                 raise ConnectionError("ended without a word")
             lines = splitter.feed(memoryview(buffer)[:count])
             if lines:
-                return read_reply(lines[0])
-            if splitter.overlong:
+                return parse_reply(lines[0])
+            if splitter.is_overlong:
                 raise ConnectionError("overlong line")
 
 
--- a/stoatgw/backends/delays.py
+++ b/stoatgw/backends/latency.py
@@ -11,17 +11,17 @@
 
 
 @dataclass(slots=True, eq=False)
-class Messages:
+class MessageLatencyTracker:
     """The lines of one standing connection that wait for an answer, oldest first."""
 
     asked: deque[tuple[int, bytes]] = field(default_factory=lambda: deque(maxlen=PENDING_MOST))
     answered_us: int = 0  # when the last answer came
     for_us: int = 0  # when the line that it answers was sent
 
-    def ask(self, lines: Iterable[bytes], now_us: int) -> None:
+    def record_sent(self, lines: Iterable[bytes], now_us: int) -> None:
         self.asked.extend((now_us, line) for line in lines)
 
-    def answer(self, line: bytes, now_us: int) -> None:
+    def record_reply(self, line: bytes, now_us: int) -> None:
         """An answer that repeats a line is its answer; any other answers all that was asked so far."""
         if not self.asked:
             return
@@ -35,11 +35,11 @@
             for _ in range(place + 1):
                 self.asked.popleft()
 
-    def overdue_us(self, now_us: int) -> int:
+    def oldest_pending_us(self, now_us: int) -> int:
         return now_us - self.asked[0][0] if self.asked else 0
 
 
-def latest_ms(connections: list[Messages], now_us: int) -> float:
+def current_latency_ms(connections: list[MessageLatencyTracker], now_us: int) -> float:
     """A backend's message time now: that of the last answer, or the age of an unanswered line.
 
     A line that was passed over, since a later one has its answer, tells nothing of now.
--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -15,7 +15,7 @@
 
     @wraps(command)
     def run(*args: Any, **kwargs: Any) -> Any:
-        from stoatgw.emulator.scenario import ScenarioError
+        from stoatgw.emulator.world.scenario import ScenarioError
         from stoatgw.lab.experiment import LabError
 
         try:
@@ -35,7 +35,7 @@
 @_one_line
 def list_scenarios() -> None:
     """List the scenarios that come with the program."""
-    from stoatgw.emulator.scenario import load
+    from stoatgw.emulator.world.scenario import load
     from stoatgw.lab.experiment import scenario_folder
 
     for path in sorted(scenario_folder().glob("*.toml")):
@@ -46,8 +46,13 @@
 @lab.command()
 @click.argument("scenario")
 @click.option("--driver", type=click.Choice(["virtual", "loopback"]), default="virtual", show_default=True)
-@click.option("--policy", "policies", multiple=True, type=click.Choice(["module", "floor", "top"]),
-              help="What decides; may be repeated. Default: module, and in virtual time all three.")  # fmt: skip
+@click.option(
+    "--policy",
+    "policies",
+    multiple=True,
+    type=click.Choice(["module", "floor", "top"]),
+    help="What decides; may be repeated. Default: module, and in virtual time all three.",
+)
 @click.option("--seeds", type=click.IntRange(1, 10_000), default=8, show_default=True, help="So many seeds.")
 @click.option("--first-seed", type=click.IntRange(0, 1 << 40), default=0, show_default=True)
 @click.option("--set", "changes", multiple=True, metavar="PATH=VALUE", help="Change a field.")
@@ -56,15 +61,22 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="The experiment's folder.")
 @_one_line
 def run(
-    scenario: str, driver: str, policies: tuple[str, ...], seeds: int, first_seed: int, changes: tuple[str, ...],
-    jobs: int | None, events: bool, out: Path,
-) -> int:  # fmt: skip
+    scenario: str,
+    driver: str,
+    policies: tuple[str, ...],
+    seeds: int,
+    first_seed: int,
+    changes: tuple[str, ...],
+    jobs: int | None,
+    events: bool,
+    out: Path,
+) -> int:
     """Play SCENARIO (a file, or a name from `lab list`) and keep the results in a folder.
 
     An interrupted run goes on where it stopped. Status 1: a rule was broken, or a run is void.
     """
     from stoatgw.lab.experiment import Experiment, find_scenario
-    from stoatgw.lab.show import Progress, summary
+    from stoatgw.lab.progress import Progress, summary
 
     path = find_scenario(scenario)
     default = ("module", "floor", "top") if driver == "virtual" else ("module",)
@@ -84,12 +96,10 @@
 @click.option("--csv", "csv_file", type=click.Path(path_type=Path), help="Write the table there too.")
 @click.option("--chart", type=click.Path(path_type=Path), help="Write a chart of the differences (PNG).")
 @_one_line
-def compare(
-    dir_a: Path, dir_b: Path, policy_a: str, policy_b: str, csv_file: Path | None, chart: Path | None
-) -> None:
+def compare(dir_a: Path, dir_b: Path, policy_a: str, policy_b: str, csv_file: Path | None, chart: Path | None) -> None:
     """B less A over the seeds that both have, with 95% bootstrap intervals."""
     from stoatgw.lab.compare import compare_folders
-    from stoatgw.lab.show import comparison
+    from stoatgw.lab.progress import comparison
 
     rows = compare_folders(dir_a, policy_a, dir_b, policy_b)
     comparison(rows, f"{dir_b} ({policy_b}) less {dir_a} ({policy_a})")
@@ -121,7 +131,7 @@
     """Policies by scenario: a table (CSV) and a chart of many experiments."""
     from stoatgw.lab.charts import draw_scenarios
     from stoatgw.lab.overview import by_scenario
-    from stoatgw.lab.show import rows_as_table
+    from stoatgw.lab.progress import rows_as_table
     from stoatgw.lab.tables import write_csv
 
     rows, shown = by_scenario(list(folders))
@@ -132,15 +142,23 @@
 
 
 @lab.command()
-@click.option("--pair", "pairs", nargs=2, multiple=True, required=True, type=click.Path(path_type=Path),
-              metavar="VIRTUAL LOOPBACK", help="Two folders of one scenario; may be repeated.")  # fmt: skip
+@click.option(
+    "--pair",
+    "pairs",
+    nargs=2,
+    multiple=True,
+    required=True,
+    type=click.Path(path_type=Path),
+    metavar="VIRTUAL LOOPBACK",
+    help="Two folders of one scenario; may be repeated.",
+)
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder for the table and the chart.")
 @_one_line
 def agree(pairs: tuple[tuple[Path, Path], ...], out: Path) -> None:
     """Whether loopback runs show what virtual runs foretell."""
     from stoatgw.lab.charts import draw_agreement
     from stoatgw.lab.overview import agreement
-    from stoatgw.lab.show import rows_as_table
+    from stoatgw.lab.progress import rows_as_table
     from stoatgw.lab.tables import write_csv
 
     found = [row for virtual, loopback in pairs for row in agreement(virtual, loopback)]
@@ -185,7 +203,7 @@
 @_one_line
 def upkeep(servers: int, bounds: tuple[int, ...], repeats: int, out: Path) -> None:
     """Real proxies settle a rolling maintenance among themselves: how long it takes, as a table and a chart."""
-    from stoatgw.lab.upkeep import measure
+    from stoatgw.lab.maintenance_report import measure
 
     for line in measure(servers, bounds, repeats, out):
         click.echo(line)
--- a/stoatgw/cli/main.py
+++ b/stoatgw/cli/main.py
@@ -10,8 +10,10 @@
 try:
     import click
 except ModuleNotFoundError:
-    sys.exit("stoatgw: the command line needs click: install the extra with pip install 'stoatgw[lab]', "
-             "or start the proxy with python -m stoatgw")  # fmt: skip
+    sys.exit(
+        "stoatgw: the command line needs click: install the extra with pip install 'stoatgw[lab]', "
+        "or start the proxy with python -m stoatgw"
+    )
 
 from stoatgw import __version__
 from stoatgw.cli.lab import lab
--- a/stoatgw/cli/maintain.py
+++ b/stoatgw/cli/maintain.py
@@ -10,20 +10,24 @@
 from msgspec.structs import replace
 
 from stoatgw.config.deployment import ConfigError
-from stoatgw.config.maintenance import PROXY, Plan
-from stoatgw.config.membership import Membership
-from stoatgw.config.operators import load_operators
-from stoatgw.maintenance.keys import Keys, Look, read_look
-from stoatgw.maintenance.ledger import LedgerError, State, encode
-from stoatgw.membership import words
-from stoatgw.membership.engine import Engine, Fault, make_engine
+from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.config.operators import load_operator_config
+from stoatgw.maintenance.keys import MaintenanceKeys, StoreSnapshot, read_store_snapshot
+from stoatgw.maintenance.rollout_state import RolloutStateError, StepState, encode
+from stoatgw.membership import etcd_api
+from stoatgw.membership.client import CallFailure, CoordinationClient, make_client
 
 ABORT_TRIES = 5  # each is one comparison with the last ledger, which a proxy may change in between
 
 CONFIG = click.option(
-    "--config", "path", envvar="STOATGW_CONFIG", required=True, type=click.Path(),
+    "--config",
+    "path",
+    envvar="STOATGW_CONFIG",
+    required=True,
+    type=click.Path(),
     help="The operators' own file; STOATGW_CONFIG by default.",
-)  # fmt: skip
+)
 
 
 @click.group()
@@ -37,10 +41,14 @@
     """Check the plan and print what it will do; asks no engine."""
     _, asked = _read(path)
     servers = [name for name in asked.machines if not name.startswith(PROXY)]
-    click.echo(f"{asked.name} ({asked.fingerprint}): {len(servers)} session servers, "
-               f"{len(asked.machines) - len(servers)} proxies, done when {asked.done}")  # fmt: skip
-    click.echo(f"at once: {asked.out_most} session servers, {asked.zone_share:g} of each zone rounded down, "
-               f"{asked.proxies_out_most} proxies; each at most {asked.step_s:g} s")  # fmt: skip
+    click.echo(
+        f"{asked.name} ({asked.fingerprint}): {len(servers)} session servers, "
+        f"{len(asked.machines) - len(servers)} proxies, done when {asked.done}"
+    )
+    click.echo(
+        f"at once: {asked.out_most} session servers, {asked.zone_share:g} of each zone rounded down, "
+        f"{asked.proxies_out_most} proxies; each at most {asked.step_s:g} s"
+    )
     for place, name in enumerate(asked.machines, 1):
         click.echo(f"{place:4}  {name}")
     return 0
@@ -51,7 +59,7 @@
 def status(path: str) -> int:
     """What is out, done and left, and which proxy leads. Status 1 where a machine was late."""
     membership, asked = _read(path)
-    look = asyncio.run(_look(make_engine(membership), Keys(membership.scope, asked.name)))
+    look = asyncio.run(_look(make_client(membership), MaintenanceKeys(membership.scope, asked.name)))
     names = ", ".join(sorted(member.name for member in look.members.values())) or "none"
     token = f" (token {look.token})" if look.token else ""
     click.echo(f"leads: {look.holder or 'nobody'}{token}; proxies at the engine: {names}")
@@ -62,15 +70,15 @@
     if ledger.plan != asked.fingerprint:
         click.echo(f"the plan under way is another of this name: {ledger.plan}, the file has {asked.fingerprint}")
     count = Counter(step.state for step in ledger.steps.values())
-    told = ", ".join(f"{count[state]} {state.value}" for state in State if count[state])
+    told = ", ".join(f"{count[state]} {state.value}" for state in StepState if count[state])
     left = sum(name not in ledger.steps for name in asked.machines)
     ended = "aborted; " if ledger.aborted else "finished; " if ledger.finished else ""
     click.echo(f"{ended}{told or 'none out yet'}, {left} left of {len(asked.machines)}")
     for name, step in ledger.steps.items():
         at = datetime.fromtimestamp(step.at_ms / 1000, UTC).strftime("%H:%M:%S")
         how = " may be worked on" if step.empty else " all proxies have it out" if step.told else " being told"
-        click.echo(f"  {name:24} {step.state.value:9} since {at} UTC{how if step.state is State.OUT else ''}")
-    return 1 if count[State.LATE] else 0
+        click.echo(f"  {name:24} {step.state.value:9} since {at} UTC{how if step.state is StepState.OUT else ''}")
+    return 1 if count[StepState.LATE] else 0
 
 
 @maintain.command()
@@ -78,37 +86,39 @@
 def abort(path: str) -> int:
     """Begin no further step and bring back what is out. Another plan name begins anew."""
     membership, asked = _read(path)
-    click.echo(asyncio.run(_abort(make_engine(membership), Keys(membership.scope, asked.name))))
+    click.echo(asyncio.run(_abort(make_client(membership), MaintenanceKeys(membership.scope, asked.name))))
     return 0
 
 
-def _read(path: str) -> tuple[Membership, Plan]:
+def _read(path: str) -> tuple[MembershipConfig, MaintenancePlan]:
     """Raises ConfigError."""
-    operators = load_operators(path)
+    operators = load_operator_config(path)
     if operators.membership is None or operators.maintenance is None:
         raise ConfigError(f"{path}: maintenance: missing")
     return operators.membership, operators.maintenance
 
 
-async def _look(engine: Engine, keys: Keys) -> Look:
-    found = await engine.call(words.RANGE, words.under(keys.prefix))
-    if isinstance(found, Fault):
-        raise click.ClickException(f"the engine does not answer: {found.why}")
+async def _look(engine: CoordinationClient, keys: MaintenanceKeys) -> StoreSnapshot:
+    found = await engine.call(etcd_api.RANGE, etcd_api.under(keys.prefix))
+    if isinstance(found, CallFailure):
+        raise click.ClickException(f"the engine does not answer: {found.reason}")
     try:
-        return read_look(keys, words.read_range(found))
-    except (words.AnswerError, LedgerError) as error:
+        return read_store_snapshot(keys, etcd_api.read_range(found))
+    except (etcd_api.ResponseError, RolloutStateError) as error:
         raise click.ClickException(f"the engine's answer cannot be read: {error}") from None
 
 
-async def _abort(engine: Engine, keys: Keys) -> str:
+async def _abort(engine: CoordinationClient, keys: MaintenanceKeys) -> str:
     for _ in range(ABORT_TRIES):
         look = await _look(engine, keys)
         if look.ledger is None:
             raise click.ClickException("nothing to abort: it has not begun")
         if look.ledger.aborted or look.ledger.finished:
             return "it had ended before"
-        write = words.put(keys.ledger, encode(replace(look.ledger, aborted=True)))
-        found = await engine.call(words.TXN, words.txn([words.changed_at(keys.ledger, look.ledger_change)], [write]))
-        if not isinstance(found, Fault) and words.read_txn(found).done:
+        write = etcd_api.put(keys.ledger, encode(replace(look.ledger, aborted=True)))
+        found = await engine.call(
+            etcd_api.TXN, etcd_api.txn([etcd_api.changed_at(keys.ledger, look.ledger_change)], [write])
+        )
+        if not isinstance(found, CallFailure) and etcd_api.read_txn(found).succeeded:
             return f"aborted; {len(look.ledger.out())} machines are brought back by the proxy that leads"
     raise click.ClickException("not aborted: the engine did not take it; try again")
--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -8,20 +8,20 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from stoatgw.backends.backend import Backends
-from stoatgw.backends.delays import Messages
-from stoatgw.clients.room import Room
+from stoatgw.backends.backend import BackendRegistry
+from stoatgw.backends.latency import MessageLatencyTracker
+from stoatgw.clients.descriptor_limiter import DescriptorLimiter
+from stoatgw.clock import Clock
 from stoatgw.config.deployment import Deployment
-from stoatgw.decisions.interface import NoteKind
-from stoatgw.lines.grammar import field_pattern
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.course import Course
-from stoatgw.owner.messages import Req
-from stoatgw.owner.owner import Owner
+from stoatgw.controller.controller import Controller
+from stoatgw.controller.lifecycle import ProxyLifecycle
+from stoatgw.controller.messages import RequestState
+from stoatgw.decisions.interface import SessionMetricKind
+from stoatgw.line_protocol.grammar import field_pattern
 from stoatgw.sockets import calls
 from stoatgw.telemetry.counters import Counters
-from stoatgw.telemetry.figures import Figures
 from stoatgw.telemetry.log import EventLog
+from stoatgw.telemetry.metrics import RequestMetrics
 
 IDS_KEPT = 16_384
 DISMISSED_S = 0.25  # one that is turned away has so long to end its side
@@ -50,39 +50,37 @@
 
 
 @dataclass(slots=True, eq=False)
-class Standing:
+class EstablishedSession:
     """A connection that is up, as the watch over message times sees it."""
 
-    req: Req
+    state: RequestState
     server: str
-    messages: Messages
+    latency: MessageLatencyTracker
     give_up: Callable[[], None]
 
 
 @dataclass(slots=True, eq=False)
 class ProxyContext:
     deployment: Deployment
-    owner: Owner
-    backends: Backends
+    controller: Controller
+    backends: BackendRegistry
     clock: Clock
-    row: Callable[[dict[str, float]], tuple[float | None, ...]]
+    load_report_row: Callable[[dict[str, float]], tuple[float | None, ...]]
     counters: Counters
     log: EventLog
-    room: Room
-    ids: RecentIds = field(default_factory=RecentIds)
-    standing: dict[str, Standing] = field(default_factory=dict)
-    course: Course = field(default_factory=Course)
+    descriptor_limiter: DescriptorLimiter
+    request_ids: RecentIds = field(default_factory=RecentIds)
+    established_sessions: dict[str, EstablishedSession] = field(default_factory=dict)
+    lifecycle: ProxyLifecycle = field(default_factory=ProxyLifecycle)
     classes: dict[str, int] = field(default_factory=dict)
     tenants: dict[str, int] = field(default_factory=dict)
-    figures: Figures = field(init=False)
+    metrics: RequestMetrics = field(init=False)
     line_field: re.Pattern[bytes] = field(init=False)  # of a client's first line
 
     def __post_init__(self) -> None:
-        self.classes = {
-            profile.name: index for index, profile in enumerate(self.deployment.settings.profiles)
-        }
+        self.classes = {profile.name: index for index, profile in enumerate(self.deployment.settings.profiles)}
         self.tenants = {name: index for index, name in enumerate(self.deployment.settings.tenants)}
-        self.figures = Figures(self.classes)
+        self.metrics = RequestMetrics(self.classes)
         self.line_field = field_pattern([*self.classes, *self.tenants])
 
     async def dismiss(self, sock: socket.socket, line: bytes) -> None:
@@ -90,27 +88,29 @@
 
         A request may cross the line on its way: read and thrown away, it does not turn the end into a reset.
         """
-        if not self.room.linger():
+        if not self.descriptor_limiter.linger():
             calls.turn_away(sock, line)
             return
         try:
             await calls.close_after(sock, line, DISMISSED_S)
         finally:
-            self.room.lingered()
+            self.descriptor_limiter.lingered()
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether clients are let in: not while they are sent away, and not before the first list."""
-        return self.backends.known and self.course.lets_in
+        return self.backends.has_endpoints and self.lifecycle.accepts_clients
 
     @property
-    def load_means(self) -> NoteKind:
+    def load_line_kind(self) -> SessionMetricKind:
         """What a backend's LOAD line tells, by the settings alone: see docs/status.md."""
         deployment = self.deployment
-        return NoteKind.DELAY if deployment.tells_delay and not deployment.tells_load else NoteKind.LOAD
+        return (
+            SessionMetricKind.DELAY if deployment.tells_delay and not deployment.tells_load else SessionMetricKind.LOAD
+        )
 
-    def by_server(self) -> Iterator[tuple[str, list[Standing]]]:
-        servers: dict[str, list[Standing]] = {}
-        for standing in self.standing.values():
+    def sessions_by_server(self) -> Iterator[tuple[str, list[EstablishedSession]]]:
+        servers: dict[str, list[EstablishedSession]] = {}
+        for standing in self.established_sessions.values():
             servers.setdefault(standing.server, []).append(standing)
         yield from servers.items()
--- a/stoatgw/clients/room.py
+++ b/stoatgw/clients/descriptor_limiter.py
@@ -18,7 +18,7 @@
     def shed(self) -> None: ...
 
 
-class Room:
+class DescriptorLimiter:
     """Two budgets: requests come first; connections that wait to ask share a part, and what is left of it.
 
     Guards against hundreds of connections that say nothing, or PING, or half a line, shutting out those that
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -6,13 +6,13 @@
 import contextlib
 import socket
 
-from stoatgw.backends.delays import latest_ms
+from stoatgw.backends.latency import current_latency_ms
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.session import ClientSession
 from stoatgw.config.deployment import Address
-from stoatgw.decisions.interface import NoteKind
-from stoatgw.lines.grammar import busy
-from stoatgw.owner.messages import Heard
+from stoatgw.controller.messages import SessionMetricObserved
+from stoatgw.decisions.interface import SessionMetricKind
+from stoatgw.line_protocol.grammar import busy
 from stoatgw.sockets import calls
 
 BACKLOG = 4096
@@ -89,7 +89,7 @@
     def _take(self, sock: socket.socket) -> None:
         context = self._context
         context.counters.add("connections")
-        if not context.room.admits():
+        if not context.descriptor_limiter.admits():
             context.counters.add("connections_over_limit")
             answered = context.dismiss(sock, busy(0))
         else:
@@ -112,10 +112,10 @@
 
     def _look(self, tell: bool) -> None:
         now_us = self._context.clock.now_us()
-        for standing in list(self._context.standing.values()):
-            if standing.messages.overdue_us(now_us) > UNANSWERED_US:
+        for standing in list(self._context.established_sessions.values()):
+            if standing.latency.oldest_pending_us(now_us) > UNANSWERED_US:
                 self._context.counters.add("sessions_unanswered")
-                standing.messages.asked.clear()
+                standing.latency.asked.clear()
                 standing.give_up()
         if tell and self._context.deployment.tells_delay:
             self._tell_delays(now_us)
@@ -123,12 +123,14 @@
     def _tell_delays(self, now_us: int) -> None:
         """While a backend's delay is over a third of the shortest aim, and once when it is back under."""
         told = set()
-        for server, standing in self._context.by_server():
-            delay_ms = latest_ms([each.messages for each in standing], now_us)
+        for server, standing in self._context.sessions_by_server():
+            delay_ms = current_latency_ms([each.latency for each in standing], now_us)
             late = delay_ms > self._tell_ms
             if late:
                 told.add(server)
                 self._context.counters.add("delays_told")
             if late or server in self._told:
-                self._context.owner.put(Heard(standing[0].req, NoteKind.DELAY, delay_ms))
+                self._context.controller.post(
+                    SessionMetricObserved(standing[0].state, SessionMetricKind.DELAY, delay_ms)
+                )
         self._told = told
--- a/stoatgw/clients/opening.py
+++ b/stoatgw/clients/request_reader.py
@@ -7,19 +7,19 @@
 import socket
 
 from stoatgw.clients.context import ProxyContext
-from stoatgw.lines.grammar import PING, PONG, Malformed, Open, busy, read_open
-from stoatgw.lines.splitter import LINE_CAP, Splitter
+from stoatgw.line_protocol.grammar import PING, PONG, MalformedRequest, SessionRequest, busy, parse_session_request
+from stoatgw.line_protocol.splitter import LINE_CAP, LineSplitter
 
 PATIENCE_S = 2.0  # from accepting to a whole request, however its bytes trickle in and whatever PINGs come
 WAIT_MOST_MS = 3_600_000  # no client waits an hour for UP
 
 
-class Opening:
+class RequestReader:
     """Reads one request; `shed` ends the wait early, to make room for others."""
 
     def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         self._sock, self._context = sock, context
-        self._splitter = Splitter()
+        self._splitter = LineSplitter()
         self._began = False  # any byte came
         self._over = False  # its time is up
         self._answering = False
@@ -54,7 +54,7 @@
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
-    async def request(self) -> Open | Malformed | None:
+    async def request(self) -> SessionRequest | MalformedRequest | None:
         """The request, or why there is none; None if the client leaves or says nothing."""
         loop = asyncio.get_running_loop()
         timer = loop.call_later(PATIENCE_S, self.shed)
@@ -71,38 +71,38 @@
                     return found
                 if self._over and self._began:
                     self._context.counters.add("clients_too_slow")
-                    return Malformed("no request in time")
+                    return MalformedRequest("no request in time")
                 if self._over or data == b"":
                     return None
         finally:
             timer.cancel()
             loop.remove_reader(self._sock.fileno())
 
-    async def _read(self, data: bytes) -> Open | Malformed | None:
+    async def _read(self, data: bytes) -> SessionRequest | MalformedRequest | None:
         self._began = True
         lines = self._splitter.feed(data)
         while lines and lines[0] == PING:
             self._context.counters.add("pings")
             self._answering = True
-            answer = PONG + b"\r\n" if self._context.ready else busy(0)
+            answer = PONG + b"\r\n" if self._context.is_ready else busy(0)
             await asyncio.get_running_loop().sock_sendall(self._sock, answer)
             self._answering = False
             lines = lines[1:]
         if lines:
             return self._judge(lines)
-        return Malformed("the line is too long") if self._splitter.overlong else None
+        return MalformedRequest("the line is too long") if self._splitter.is_overlong else None
 
-    def _judge(self, lines: list[bytes]) -> Open | Malformed:
-        opened = read_open(lines[0], self._context.line_field)
-        if isinstance(opened, Malformed):
+    def _judge(self, lines: list[bytes]) -> SessionRequest | MalformedRequest:
+        opened = parse_session_request(lines[0], self._context.line_field)
+        if isinstance(opened, MalformedRequest):
             return opened
-        if len(lines) > 1 or self._splitter.rest or self._splitter.overlong:
+        if len(lines) > 1 or self._splitter.rest or self._splitter.is_overlong:
             # A client waits for UP after its line: what comes with it was meant for no session server.
-            return Malformed("more came before UP", opened.profile)
-        if opened.profile not in self._context.classes:
-            return Malformed("class is unknown")
-        if opened.at is None and opened.wait_ms > WAIT_MOST_MS:  # one that stood before waits for good
-            return Malformed("field d is beyond belief", opened.profile)
-        if not self._context.ids.fresh(opened.request):
-            return Malformed("the id came before", opened.profile)
+            return MalformedRequest("more came before UP", opened.class_name)
+        if opened.class_name not in self._context.classes:
+            return MalformedRequest("class is unknown")
+        if opened.restore_at is None and opened.wait_ms > WAIT_MOST_MS:  # one that stood before waits for good
+            return MalformedRequest("field d is beyond belief", opened.class_name)
+        if not self._context.request_ids.fresh(opened.request_id):
+            return MalformedRequest("the id came before", opened.class_name)
         return opened
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -11,44 +11,44 @@
 
 from stoatgw.backends.attempt import BUFFER, Attempt
 from stoatgw.backends.backend import Backend
-from stoatgw.backends.delays import Messages
-from stoatgw.clients.context import ProxyContext, Standing
-from stoatgw.clients.opening import Opening
-from stoatgw.decisions.interface import Request, Status
-from stoatgw.lines.grammar import (
+from stoatgw.backends.latency import MessageLatencyTracker
+from stoatgw.clients.context import EstablishedSession, ProxyContext
+from stoatgw.clients.request_reader import RequestReader
+from stoatgw.controller.messages import (
+    AttemptEnd,
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStage,
+    ClientDisconnected,
+    RequestReceived,
+    RequestState,
+    SessionMetricObserved,
+    SessionRestored,
+)
+from stoatgw.decisions.interface import AttemptStatus, Request
+from stoatgw.line_protocol.grammar import (
     MOVE,
-    Malformed,
-    Open,
-    Word,
+    Keyword,
+    MalformedRequest,
+    SessionRequest,
     busy,
     error,
-    read_number,
-    read_reply,
-)
-from stoatgw.lines.splitter import Splitter
-from stoatgw.owner.messages import (
-    Arrived,
-    AttemptEnd,
-    AttemptEnded,
-    AttemptUp,
-    ClientLeft,
-    Heard,
-    Req,
-    Stage,
-    Stood,
+    parse_number,
+    parse_reply,
 )
+from stoatgw.line_protocol.splitter import LineSplitter
 from stoatgw.sockets import calls
-from stoatgw.telemetry.figures import Verdict
+from stoatgw.telemetry.metrics import RequestOutcome
 
 LINGER_S = 1.0  # a peer has so long to end its side after ours has ended
 ANSWERED_LINGER_S = 0.25  # and after a refusal or an error, which nothing on its way can follow
 EARLY_CAP = 65_536  # bytes kept that a client sends while UP is on its way to it
 BOUNDARY_S = 0.5  # a MOVE waits so long for the end of a line under way
 RESTORE_S, RESTORE_DIAL_US, RESTORE_PAUSE_S = 39.0, 2_000_000, 0.1
-UNTIMED = (Word.LOAD, Word.MOVE, Word.BYE)  # lines that answer no line of the client
+UNTIMED = (Keyword.LOAD, Keyword.MOVE, Keyword.BYE)  # lines that answer no line of the client
 
 
-class Cause(Enum):
+class EndReason(Enum):
     """What ended a session."""
 
     ANSWERED = "answered"
@@ -58,12 +58,12 @@
     MOVED = "moved"
 
 
-GONE = (Cause.CLIENT_LEFT, Cause.UNRULY)  # the decisions owe nothing any more
+GONE = (EndReason.CLIENT_LEFT, EndReason.UNRULY)  # the decisions owe nothing any more
 
 
 @dataclass(frozen=True, slots=True)
-class End:
-    cause: Cause
+class SessionEnd:
+    cause: EndReason
     line: bytes = b""
     reset: bool = False
 
@@ -71,27 +71,27 @@
 class ClientSession:
     def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         self._sock, self._context = sock, context
-        self._opening = Opening(sock, context)
-        context.room.waits(self._opening)
-        self._asking = Splitter()  # for the lines after UP
-        self._end: asyncio.Future[End] = asyncio.get_running_loop().create_future()
-        self._req: Req | None = None
-        self._open: Open | None = None
+        self._opening = RequestReader(sock, context)
+        context.descriptor_limiter.waits(self._opening)
+        self._asking = LineSplitter()  # for the lines after UP
+        self._end: asyncio.Future[SessionEnd] = asyncio.get_running_loop().create_future()
+        self._req: RequestState | None = None
+        self._open: SessionRequest | None = None
         self._up = False  # UP is on its way to the client, or has come there: the one answer
         self._early = bytearray()
         self._attempt: Attempt | None = None  # the one that is up
         self._parting: Attempt | None = None  # was up, and our sending there is ended
         self._attempting: asyncio.Task[None] | None = None
         self._began = -1  # the last attempt whose task ran at all
-        self._messages = Messages()
+        self._messages = MessageLatencyTracker()
         self._between_lines = True  # on the way to the client
         self._move_asked = False
-        self._given_up = Status.REVOKED
+        self._given_up = AttemptStatus.REVOKED
         self._class = ""  # of the request taken, until its answer is counted
 
     async def run(self) -> None:
-        counters, room, taken = self._context.counters, self._context.room, False
-        opened: Open | Malformed | None = None
+        counters, room, taken = self._context.counters, self._context.descriptor_limiter, False
+        opened: SessionRequest | MalformedRequest | None = None
         try:
             opened = await self._opening.request()
             room.opened(self._opening)
@@ -99,25 +99,25 @@
                 # BUSY: a request that crosses it on the way has its answer, and may be repeated.
                 await self._context.dismiss(self._sock, busy(0))
                 return
-            if isinstance(opened, Malformed):
+            if isinstance(opened, MalformedRequest):
                 counters.add("requests_malformed")
-                self._context.figures.answered(opened.profile, Verdict.ERROR)
-                await self._context.dismiss(self._sock, error(opened.why))
+                self._context.metrics.record_outcome(opened.class_name, RequestOutcome.ERROR)
+                await self._context.dismiss(self._sock, error(opened.reason))
                 return
-            self._class = opened.profile
+            self._class = opened.class_name
             taken = room.take()
             if not taken:
                 counters.add("requests_over_limit")
-                self._count(Verdict.OVERLOAD)
+                self._count(RequestOutcome.OVERLOAD)
                 await calls.close_after(self._sock, busy(0), ANSWERED_LINGER_S)
                 return
             end = await self._serve(opened)
             counters.add(f"sessions_{end.cause.value}")
-            if end.reset or end.cause is Cause.CLIENT_LEFT:  # nobody is there to read a last line
+            if end.reset or end.cause is EndReason.CLIENT_LEFT:  # nobody is there to read a last line
                 calls.close(self._sock, reset=end.reset)
                 ours = None
             else:
-                answered = end.cause in (Cause.ANSWERED, Cause.UNRULY)
+                answered = end.cause in (EndReason.ANSWERED, EndReason.UNRULY)
                 ours = calls.close_after(self._sock, end.line, ANSWERED_LINGER_S if answered else LINGER_S)
             parted = self._parting.part(LINGER_S) if self._parting is not None else None
             await asyncio.gather(*(each for each in (ours, parted) if each is not None))
@@ -126,7 +126,7 @@
             calls.close(self._sock)
         except Exception as fault:
             counters.add("session_faults")
-            self._count(Verdict.ERROR)
+            self._count(RequestOutcome.ERROR)
             self._context.log.event("session_fault", error=repr(fault))
             calls.close(self._sock)
         finally:
@@ -136,160 +136,168 @@
             room.opened(self._opening)
             if taken:
                 room.leave()
-            if isinstance(opened, Open):
-                self._context.ids.done(opened.request)
+            if isinstance(opened, SessionRequest):
+                self._context.request_ids.done(opened.request_id)
 
-    async def _serve(self, opened: Open) -> End:
+    async def _serve(self, opened: SessionRequest) -> SessionEnd:
         self._open = opened
-        loop, owner = asyncio.get_running_loop(), self._context.owner
+        loop, owner = asyncio.get_running_loop(), self._context.controller
         req = self._req = self._ask(opened)
         reader = loop.create_task(self._read_client())
-        self._context.figures.concurrent += 1
-        if opened.at is not None:
+        self._context.metrics.open_requests += 1
+        if opened.restore_at is not None:
             self._context.counters.add("requests_standing")
-            self._attempting = loop.create_task(self._restore(req, opened, opened.at))
+            self._attempting = loop.create_task(self._restore(req, opened, opened.restore_at))
         else:
             self._context.counters.add("requests")
-            owner.put(Arrived(req))
+            owner.post(RequestReceived(req))
         try:
             end = await asyncio.shield(self._end)
         finally:
-            self._context.figures.concurrent -= 1
+            self._context.metrics.open_requests -= 1
             # A socket may be closed only once no task waits on it.
             await _stop(reader)
             if not self._end.done() or self._end.result().cause in GONE:
-                owner.put(ClientLeft(req))
+                owner.post(ClientDisconnected(req))
             if self._attempting is not None:
                 await _stop(self._attempting)
         return end
 
-    def _ask(self, opened: Open) -> Req:
+    def _ask(self, opened: SessionRequest) -> RequestState:
         now_us = self._context.clock.now_us()
         asked = Request(
-            request=opened.request,
-            profile=self._context.classes[opened.profile],
-            patience_left_us=opened.wait_ms * 1000,
+            request_id=opened.request_id,
+            request_class=self._context.classes[opened.class_name],
+            time_left_us=opened.wait_ms * 1000,
             # One that the settings do not name has no quota: it may not use up that of another.
             tenant=self._context.tenants.get(opened.tenant, len(self._context.tenants)),
-            key=opened.key,
+            idempotency_key=opened.idempotency_key,
             group=opened.group if self._context.deployment.settings.groups else None,
-            hint_us=opened.hint,
-            hint_valid=opened.hint is not None,
-            client_retry=opened.retry,
-            returned=opened.again,
+            hint_us=opened.load_hint,
+            hint_valid=opened.load_hint is not None,
+            is_client_retry=opened.is_client_retry,
+            is_returning=opened.is_returning,
         )
-        return Req(asked, now_us + opened.wait_ms * 1000, self)
+        return RequestState(asked, now_us + opened.wait_ms * 1000, self)
 
-    def _finish(self, end: End) -> None:
+    def _finish(self, end: SessionEnd) -> None:
         if not self._end.done():
             self._end.set_result(end)
 
     # The owner's side: see Door.
 
-    def begin(self, number: int, server: str, cut_at_us: int) -> None:
+    def start_attempt(self, number: int, server: str, cut_at_us: int) -> None:
         req = self._req
         if req is None:
             return
         if self._end.done():
             # Guards against a client that left before the owner's turn: its line would run for nobody.
-            gone = AttemptEnd(Status.REVOKED, Stage.CONNECTING, "its client has gone")
-            self._context.owner.put(AttemptEnded(req, number, gone))
+            gone = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "its client has gone")
+            self._context.controller.post(AttemptEnded(req, number, gone))
             return
         self._attempting = asyncio.get_running_loop().create_task(
             self._run_attempt(req, number, server, cut_at_us, self._attempting)
         )
         self._attempting.add_done_callback(partial(self._never_begun, req, number))
 
-    def _never_begun(self, req: Req, number: int, _: asyncio.Task[None]) -> None:
+    def _never_begun(self, req: RequestState, number: int, _: asyncio.Task[None]) -> None:
         """A task that is cancelled before its first step runs no code of its own: its end is told all the same."""
         if self._began != number:
-            given_up = AttemptEnd(Status.REVOKED, Stage.CONNECTING, "never begun")
-            self._context.owner.put(AttemptEnded(req, number, given_up))
+            given_up = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "never begun")
+            self._context.controller.post(AttemptEnded(req, number, given_up))
 
-    def cancel(self, number: int) -> None:
+    def cancel_attempt(self, number: int) -> None:
         if self._attempting is not None:
             self._attempting.cancel()
 
-    def _count(self, verdict: Verdict) -> None:
+    def _count(self, verdict: RequestOutcome) -> None:
         """The request's one answer, counted once; nothing for a client that left before it."""
         if self._class and not self._end.done():
-            self._context.figures.answered(self._class, verdict)
+            self._context.metrics.record_outcome(self._class, verdict)
             self._class = ""
 
-    def refuse(self, retry_after_us: int) -> None:
-        self._answer(Verdict.OVERLOAD, busy(retry_after_us))
+    def reject(self, retry_after_us: int) -> None:
+        self._answer(RequestOutcome.OVERLOAD, busy(retry_after_us))
 
     def fail(self) -> None:
-        self._answer(Verdict.ERROR, error("failed"))
+        self._answer(RequestOutcome.ERROR, error("failed"))
 
-    def _answer(self, verdict: Verdict, line: bytes) -> None:
+    def _answer(self, verdict: RequestOutcome, line: bytes) -> None:
         """Guards against a second answer: UP may be on its way while the owner's turn finds the time to be up."""
         if not self._up:
             self._count(verdict)
-            self._finish(End(Cause.ANSWERED, line))
+            self._finish(SessionEnd(EndReason.ANSWERED, line))
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         """Send the client away, between two lines."""
         self._move_asked = True
         if self._between_lines:
-            self._finish(End(Cause.MOVED, MOVE + b"\r\n"))
+            self._finish(SessionEnd(EndReason.MOVED, MOVE + b"\r\n"))
         else:
             # Guards against a backend that stops in the middle of a line.
-            asyncio.get_running_loop().call_later(BOUNDARY_S, self._finish, End(Cause.MOVED))
+            asyncio.get_running_loop().call_later(BOUNDARY_S, self._finish, SessionEnd(EndReason.MOVED))
 
     def give_up(self) -> None:
         """The backend answers nothing any more: its client is better off elsewhere."""
-        self._given_up = Status.DROPPED
-        self.move()
+        self._given_up = AttemptStatus.DROPPED
+        self.migrate()
 
     # The backend's side.
 
     async def _run_attempt(
-        self, req: Req, number: int, server: str, cut_at_us: int, before: asyncio.Task[None] | None
+        self, req: RequestState, number: int, server: str, cut_at_us: int, before: asyncio.Task[None] | None
     ) -> None:
-        context, end, attempt = self._context, AttemptEnd(Status.REVOKED, Stage.CONNECTING, "given up"), None
+        context, end, attempt = (
+            self._context,
+            AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "given up"),
+            None,
+        )
         self._began = number
         try:
             if before is not None and not before.done():
                 await asyncio.wait([before])  # never two at a time
             backend, opened = context.backends.get(server), self._open
             if backend is None or opened is None:
-                end = AttemptEnd(Status.DIAL_FAILED, Stage.CONNECTING, "no such backend")
+                end = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING, "no such backend")
                 return
             attempt = self._make_attempt(backend, context.deployment.dial_timeout_us)
-            ended = await attempt.open(opened.forwarded, cut_at_us, req.repeat_by_us)
+            ended = await attempt.open(opened.forwarded, cut_at_us, req.retry_before_us)
             if ended is None and self._end.done():
                 # Guards against UP passed on behind another answer, or for a client that has gone.
-                ended = AttemptEnd(Status.REVOKED, Stage.UP, "its client was answered meanwhile")
+                ended = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED, "its client was answered meanwhile")
             if ended is None:
-                context.owner.put(AttemptUp(req, number))
+                context.controller.post(AttemptEstablished(req, number))
                 ended = await self._stand(req, attempt, server)
             end = ended
         except asyncio.CancelledError:
-            end = AttemptEnd(self._given_up, attempt.stage if attempt else Stage.CONNECTING, "given up")
+            end = AttemptEnd(self._given_up, attempt.stage if attempt else AttemptStage.CONNECTING, "given up")
             raise
         except Exception as fault:
-            stage = attempt.stage if attempt else Stage.CONNECTING
-            ran = stage in (Stage.SENT, Stage.UP)
-            end = AttemptEnd(Status.DROPPED if ran else Status.UNUSED, stage, repr(fault))
+            stage = attempt.stage if attempt else AttemptStage.CONNECTING
+            ran = stage in (AttemptStage.SENT, AttemptStage.ESTABLISHED)
+            end = AttemptEnd(AttemptStatus.DROPPED if ran else AttemptStatus.UNUSED, stage, repr(fault))
             context.counters.add("fetch_faults")
             context.log.event("fetch_fault", error=repr(fault))
         finally:
             self._close(req, attempt)
-            if end.status not in (Status.DELIVERED, Status.REVOKED):
+            if end.status not in (AttemptStatus.DELIVERED, AttemptStatus.REVOKED):
                 context.log.event(
-                    "fetch_ended", id=req.asked.request, backend=server, status=end.status.value,
-                    stage=end.stage.value, why=end.why,
-                )  # fmt: skip
-            context.owner.put(AttemptEnded(req, number, end))
-            if end.stage is Stage.UP:
-                self._finish(End(Cause.BACKEND_ENDED, reset=attempt is not None and attempt.reset))
-
-    async def _restore(self, req: Req, opened: Open, server: str) -> None:
+                    "fetch_ended",
+                    id=req.request.request_id,
+                    backend=server,
+                    status=end.status.value,
+                    stage=end.stage.value,
+                    why=end.reason,
+                )
+            context.controller.post(AttemptEnded(req, number, end))
+            if end.stage is AttemptStage.ESTABLISHED:
+                self._finish(SessionEnd(EndReason.BACKEND_ENDED, reset=attempt is not None and attempt.reset))
+
+    async def _restore(self, req: RequestState, opened: SessionRequest, server: str) -> None:
         """A connection that stood before: back to its backend, also where the list or the backend is late."""
         context, loop = self._context, asyncio.get_running_loop()
         until_us = context.clock.now_us() + int(RESTORE_S * 1e6)
-        end: AttemptEnd | None = AttemptEnd(Status.DIAL_FAILED, Stage.CONNECTING, "not listed")
+        end: AttemptEnd | None = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING, "not listed")
         attempt: Attempt | None = None
         stood = False
         try:
@@ -300,15 +308,15 @@
                     end = await attempt.open(lambda _: opened.line + b"\r\n", until_us)
                     if end is None:
                         stood = True
-                        context.owner.put(Stood(req, server))
+                        context.controller.post(SessionRestored(req, server))
                         end = await self._stand(req, attempt, server)
                         break
                     self._close(req, attempt)
-                    if end.status not in (Status.DIAL_FAILED, Status.SHED):
+                    if end.status not in (AttemptStatus.DIAL_FAILED, AttemptStatus.SHED):
                         break  # it may have run: not again
                 await asyncio.sleep(RESTORE_PAUSE_S)
         except asyncio.CancelledError:
-            end = AttemptEnd(self._given_up, Stage.UP, "given up")
+            end = AttemptEnd(self._given_up, AttemptStage.ESTABLISHED, "given up")
             raise
         except Exception as fault:
             context.counters.add("fetch_faults")
@@ -316,30 +324,32 @@
         finally:
             self._close(req, attempt)
             if stood:
-                owner_end = end or AttemptEnd(Status.DROPPED, Stage.UP, "fault")
-                context.owner.put(AttemptEnded(req, 0, owner_end))
-                self._finish(End(Cause.BACKEND_ENDED, reset=attempt is not None and attempt.reset))
+                owner_end = end or AttemptEnd(AttemptStatus.DROPPED, AttemptStage.ESTABLISHED, "fault")
+                context.controller.post(AttemptEnded(req, 0, owner_end))
+                self._finish(SessionEnd(EndReason.BACKEND_ENDED, reset=attempt is not None and attempt.reset))
             else:
                 context.counters.add("standing_lost")
-                context.log.event("standing_lost", id=opened.request, why=end.why if end else "fault")
+                context.log.event("standing_lost", id=opened.request_id, why=end.reason if end else "fault")
                 loop.call_soon(self.fail)
 
     def _make_attempt(self, backend: Backend, dial_us: int) -> Attempt:
         context = self._context
         grace_us = context.deployment.settings.drain_grace_us
-        return Attempt(backend, context.clock, dial_us, grace_us, context.row, self._dispatched)
+        return Attempt(backend, context.clock, dial_us, grace_us, context.load_report_row, self._dispatched)
 
     def _dispatched(self) -> None:
-        self._context.figures.dispatches += 1
+        self._context.metrics.dispatches += 1
 
-    async def _stand(self, req: Req, attempt: Attempt, server: str) -> AttemptEnd:
+    async def _stand(self, req: RequestState, attempt: Attempt, server: str) -> AttemptEnd:
         """Up: pass UP on, then all lines both ways until the backend ends."""
         context = self._context
         context.counters.add("answers_up")
-        context.standing[req.asked.request] = Standing(req, server, self._messages, self.give_up)
+        context.established_sessions[req.request.request_id] = EstablishedSession(
+            req, server, self._messages, self.give_up
+        )
         self._up = True
-        self._count(Verdict.SUCCESS)
-        await self.pass_on(attempt.receipt)
+        self._count(RequestOutcome.SUCCESS)
+        await self.forward(attempt.receipt)
         while self._early:  # more may come while these are sent
             data = bytes(self._early)
             self._early.clear()
@@ -348,45 +358,45 @@
         self._attempt = attempt
         return await attempt.relay(self)
 
-    def _close(self, req: Req, attempt: Attempt | None) -> None:
+    def _close(self, req: RequestState, attempt: Attempt | None) -> None:
         self._attempt = None
-        self._context.standing.pop(req.asked.request, None)
+        self._context.established_sessions.pop(req.request.request_id, None)
         if attempt is None:
             return
         end = self._end.result() if self._end.done() else None
-        politely = end is not None and end.cause in (Cause.CLIENT_LEFT, Cause.MOVED) and not end.reset
-        if attempt.stage is Stage.UP and politely:
+        politely = end is not None and end.cause in (EndReason.CLIENT_LEFT, EndReason.MOVED) and not end.reset
+        if attempt.stage is AttemptStage.ESTABLISHED and politely:
             # Closed over unread bytes, it would be reset, and the client's last lines might go with that.
             attempt.half_close()
             self._parting = attempt
         else:
             attempt.close(reset=end is not None and end.reset)
 
-    def heard(self, lines: list[bytes]) -> None:
+    def lines_received(self, lines: list[bytes]) -> None:
         now_us, context = self._context.clock.now_us(), self._context
         context.counters.add("lines_from_backends", len(lines))
         for line in lines:
-            reply = read_reply(line)
-            if reply.word is Word.LOAD and self._req is not None:
-                value = read_number(reply.rest)
+            reply = parse_reply(line)
+            if reply.keyword is Keyword.LOAD and self._req is not None:
+                value = parse_number(reply.fields)
                 if value is not None:
-                    context.owner.put(Heard(self._req, context.load_means, value))
-            elif reply.word not in UNTIMED:
-                self._messages.answer(line, now_us)
+                    context.controller.post(SessionMetricObserved(self._req, context.load_line_kind, value))
+            elif reply.keyword not in UNTIMED:
+                self._messages.record_reply(line, now_us)
 
-    async def pass_on(self, data: bytes) -> None:
+    async def forward(self, data: bytes) -> None:
         self._between_lines = False
         await asyncio.get_running_loop().sock_sendall(self._sock, data)
         self._between_lines = data.endswith(b"\n")
         if self._move_asked and self._between_lines:
-            self._finish(End(Cause.MOVED, MOVE + b"\r\n"))
+            self._finish(SessionEnd(EndReason.MOVED, MOVE + b"\r\n"))
 
     # The client's side.
 
     def _heard_client(self, data: bytes) -> None:
         lines = self._asking.feed(data)
         self._context.counters.add("lines_from_clients", len(lines))
-        self._messages.ask(lines, self._context.clock.now_us())
+        self._messages.record_sent(lines, self._context.clock.now_us())
 
     async def _read_client(self) -> None:
         loop = asyncio.get_running_loop()
@@ -395,8 +405,8 @@
                 if not self._up:
                     # Guards against commands sent before the answer being served as though they were a
                     # session: a client waits for UP.
-                    self._count(Verdict.ERROR)
-                    self._finish(End(Cause.UNRULY, error("more came before UP")))
+                    self._count(RequestOutcome.ERROR)
+                    self._finish(SessionEnd(EndReason.UNRULY, error("more came before UP")))
                     return
                 if self._attempt is None:
                     self._early += data
@@ -409,11 +419,11 @@
                 except OSError:
                     # The backend's last lines may still be on their way to the client.
                     await asyncio.sleep(BOUNDARY_S)
-                    self._finish(End(Cause.BACKEND_ENDED, reset=True))
+                    self._finish(SessionEnd(EndReason.BACKEND_ENDED, reset=True))
                     return
-            self._finish(End(Cause.CLIENT_LEFT))
+            self._finish(SessionEnd(EndReason.CLIENT_LEFT))
         except OSError as fault:
-            self._finish(End(Cause.CLIENT_LEFT, reset=isinstance(fault, ConnectionResetError)))
+            self._finish(SessionEnd(EndReason.CLIENT_LEFT, reset=isinstance(fault, ConnectionResetError)))
 
 
 async def _stop(task: asyncio.Task[None]) -> None:
--- a/stoatgw/config/maintenance.py
+++ b/stoatgw/config/maintenance.py
@@ -14,7 +14,7 @@
 PROXY = "proxy/"  # before the name of a proxy; the others are session servers, by their id
 
 
-class Plan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class MaintenancePlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Which machines, how many at once, how long each, and what counts as done."""
 
     name: Name  # another name is another maintenance, begun from the first machine
--- a/stoatgw/config/membership.py
+++ b/stoatgw/config/membership.py
@@ -10,7 +10,7 @@
 Scope = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
 
 
-class Membership(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class MembershipConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Where the engine is and how long a lease lasts; docs/membership.md has the arithmetic."""
 
     engine: Annotated[tuple[Endpoint, ...], msgspec.Meta(min_length=1, max_length=16)]
--- a/stoatgw/config/operators.py
+++ b/stoatgw/config/operators.py
@@ -11,19 +11,19 @@
 import msgspec
 
 from stoatgw.config.deployment import ConfigError
-from stoatgw.config.maintenance import Plan
-from stoatgw.config.membership import Membership
-from stoatgw.config.sharing import Sharing
+from stoatgw.config.maintenance import MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
 from stoatgw.config.toml import TomlError, convert, load_toml
-from stoatgw.rebalance.limits import Limits
+from stoatgw.rebalance.limits import RebalanceLimits
 
 
-class Operators(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class OperatorConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     version: Literal[1]
-    rebalance: Limits = Limits()
-    membership: Membership | None = None
-    maintenance: Plan | None = None
-    sharing: Sharing | None = None
+    rebalance: RebalanceLimits = RebalanceLimits()
+    membership: MembershipConfig | None = None
+    maintenance: MaintenancePlan | None = None
+    sharing: SharedHealthChecksConfig | None = None
 
     def __post_init__(self) -> None:
         if self.maintenance is not None and self.membership is None:
@@ -36,11 +36,11 @@
                 raise ValueError("sharing.stale_ms: under probe_ms and three times look_ms: all would always stand in")
 
 
-def load_operators(path: str) -> Operators:
+def load_operator_config(path: str) -> OperatorConfig:
     """Raises ConfigError."""
-    kinds = (Operators, Limits, Membership, Plan, Sharing)
+    kinds = (OperatorConfig, RebalanceLimits, MembershipConfig, MaintenancePlan, SharedHealthChecksConfig)
     names = [name for kind in kinds for name in kind.__struct_fields__]
     try:
-        return convert(load_toml(Path(path)), Operators, path, names)
+        return convert(load_toml(Path(path)), OperatorConfig, path, names)
     except TomlError as fault:
         raise ConfigError(str(fault)) from None
--- a/stoatgw/config/settings.py
+++ b/stoatgw/config/settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, TypeVar
 
-from stoatgw.decisions.interface import Idempotency, KeyScope, Profile, Settings, SettingsError
+from stoatgw.decisions.interface import Idempotency, KeyScope, RequestClass, Settings, SettingsError
 
 T = TypeVar("T")
 
@@ -78,7 +78,7 @@
         path = f"profiles.{index}."
         deadline_us = get(path + "deadline_us", integer)
         profiles.append(
-            Profile(
+            RequestClass(
                 on_time_us=get(path + "on_time_us", integer, deadline_us),
                 deadline_us=deadline_us,
                 worth=get(path + "worth", _read_number, 1.0),
@@ -109,9 +109,7 @@
         pass_mode=get("domain.mode", str, "proxy") == "pass",
         park_us=get("domain.park_us", integer, 0),
         groups=get("domain.groups", _read_bool, False),
-        tenants=tuple(
-            get(f"tenants.{index}.name", str, "") for index in range(get("tenants.count", integer, 0))
-        ),
+        tenants=tuple(get(f"tenants.{index}.name", str, "") for index in range(get("tenants.count", integer, 0))),
         over_share_worth=get("over_share_worth", _read_number, 1.0),
         tenant_quota_connections=get("domain.tenant_quota_connections", numbers, no_numbers),
         report_columns=() if via == "off" else get("report.columns", words, ()),
--- a/stoatgw/config/sharing.py
+++ b/stoatgw/config/shared_health_checks.py
@@ -9,7 +9,7 @@
 Span = Annotated[int, msgspec.Meta(ge=50, le=60_000)]
 
 
-class Sharing(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class SharedHealthChecksConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Each server is probed by one proxy for all."""
 
     probe_ms: Span = 250  # each server is probed so often
--- a/stoatgw/owner/stopping.py
+++ b/stoatgw/controller/graceful_shutdown.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass
 
+from stoatgw.controller.messages import BeginDrain
 from stoatgw.decisions.interface import Settings
-from stoatgw.owner.messages import Drain
 
 LONGEST_US = 3_000_000  # the longest deadline counts as so much at most; the kill comes 0.7 s after it
 NEWCOMERS_US = 400_000  # new clients are led here for so long after SIGTERM
@@ -16,15 +16,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stopping:
+class ShutdownPlan:
     """The drain, and after how long the process ends: not before the least, then once all have gone, at the most."""
 
-    drain: Drain
-    least_us: int
-    most_us: int
+    drain: BeginDrain
+    min_duration_us: int
+    max_duration_us: int
 
 
-def stopping(settings: Settings, *, handed_over: bool) -> Stopping:
+def plan_shutdown(settings: Settings, *, handed_over: bool) -> ShutdownPlan:
     """What to do on SIGTERM. `handed_over`: another process of this proxy takes the clients from now on.
 
     A plain stop takes nearly all of its time. Those who stand are served until their turn; moved in a second, all
@@ -34,7 +34,7 @@
     longest_us = min(LONGEST_US, max(profile.deadline_us for profile in settings.profiles))
     if handed_over:
         over_us = min(HANDOVER_OVER_US, max(0, longest_us - HANDOVER_FIRST_US))
-        return Stopping(Drain(HANDOVER_FIRST_US, over_us, longest_us), 0, longest_us + 400_000)
+        return ShutdownPlan(BeginDrain(HANDOVER_FIRST_US, over_us, longest_us), 0, longest_us + 400_000)
     most_us = longest_us + END_US
-    drain = Drain(NEWCOMERS_US, max(0, longest_us - NEWCOMERS_US), min(SERVE_US, most_us - ANSWER_US))
-    return Stopping(drain, min(LEAST_US, most_us), most_us)
+    drain = BeginDrain(NEWCOMERS_US, max(0, longest_us - NEWCOMERS_US), min(SERVE_US, most_us - ANSWER_US))
+    return ShutdownPlan(drain, min(LEAST_US, most_us), most_us)
--- a/stoatgw/owner/course.py
+++ b/stoatgw/controller/lifecycle.py
@@ -5,40 +5,40 @@
 from enum import Enum
 
 
-class Stage(Enum):
+class LifecycleState(Enum):
     SERVING = "serving"
     DRAINING = "draining"  # sent away by hand: clients leave, the process stays, and may serve again
     STOPPING = "stopping"  # on SIGTERM: nothing leads back
 
 
-class Course:
+class ProxyLifecycle:
     """One direction by signal, both by hand. Each call says whether it is carried out now or was before."""
 
     def __init__(self) -> None:
-        self.stage = Stage.SERVING
-        self.handed_over = False  # while stopping: another process of this proxy takes the clients
+        self.state = LifecycleState.SERVING
+        self.is_handed_over = False  # while stopping: another process of this proxy takes the clients
 
     @property
-    def lets_in(self) -> bool:
+    def accepts_clients(self) -> bool:
         """Whether a client that comes to this proxy's address is served, be it by another process."""
-        return self.serving or self.handed_over
+        return self.is_serving or self.is_handed_over
 
     @property
-    def serving(self) -> bool:
-        return self.stage is Stage.SERVING
+    def is_serving(self) -> bool:
+        return self.state is LifecycleState.SERVING
 
-    def drain(self) -> bool:
+    def begin_drain(self) -> bool:
         """Whether this call begins it: a second drain, or one while stopping, begins nothing."""
-        began = self.serving
+        began = self.is_serving
         if began:
-            self.stage = Stage.DRAINING
+            self.state = LifecycleState.DRAINING
         return began
 
-    def activate(self) -> bool:
+    def resume_serving(self) -> bool:
         """Whether the proxy serves from now on; not while stopping."""
-        if self.stage is Stage.DRAINING:
-            self.stage = Stage.SERVING
-        return self.serving
+        if self.state is LifecycleState.DRAINING:
+            self.state = LifecycleState.SERVING
+        return self.is_serving
 
-    def stop(self, *, handed_over: bool) -> None:
-        self.stage, self.handed_over = Stage.STOPPING, handed_over
+    def begin_shutdown(self, *, handed_over: bool) -> None:
+        self.state, self.is_handed_over = LifecycleState.STOPPING, handed_over
--- a/stoatgw/decisions/interface.py
+++ b/stoatgw/decisions/interface.py
@@ -33,21 +33,21 @@
 class Lifecycle(Enum):
     """A server's state in the list."""
 
-    ON = "on"
-    FADING = "fading"
-    OFF = "off"
+    ACTIVE = "on"
+    DRAINING = "fading"
+    REMOVED = "off"
 
 
-class ListKind(Enum):
+class EndpointUpdateKind(Enum):
     """What a list update holds."""
 
-    DIFF = "diff"
+    DELTA = "diff"
     SNAPSHOT = "snapshot"
-    DISK = "disk"
+    CACHED = "disk"
     ERROR = "error"
 
 
-class Status(Enum):
+class AttemptStatus(Enum):
     """How an attempt or a probe ended."""
 
     DELIVERED = "delivered"
@@ -62,10 +62,10 @@
     @property
     def never_ran(self) -> bool:
         """Whether it proves that the attempt did not run and will not."""
-        return self in (Status.SHED, Status.DIAL_FAILED, Status.UNUSED)
+        return self in (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED, AttemptStatus.UNUSED)
 
 
-class NoteKind(Enum):
+class SessionMetricKind(Enum):
     """What a note about a running attempt tells."""
 
     LOAD = 1
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Profile:
+class RequestClass:
     """One request class."""
 
     on_time_us: int
@@ -90,7 +90,7 @@
 class Settings:
     """What a balancer is told once, at its start."""
 
-    profiles: tuple[Profile, ...]
+    profiles: tuple[RequestClass, ...]
     balancers: int = 1
     rank: int = 0
     zone: int = 0
@@ -146,46 +146,46 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
+class Endpoint:
     """One line of the server list."""
 
-    server: str
-    lifecycle: Lifecycle = Lifecycle.ON
+    name: str
+    lifecycle: Lifecycle = Lifecycle.ACTIVE
     zone: int = 0
     cell: int = 0
-    kind: int = 0
+    machine_kind: int = 0
     weight: float = 1.0
-    last_start_us: int = 0
+    started_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class ListUpdate:
+class EndpointUpdate:
     """News of the server list; ERROR carries no entries."""
 
-    kind: ListKind
+    kind: EndpointUpdateKind
     version: int = 0
-    entries: tuple[ServerEntry, ...] = ()
+    endpoints: tuple[Endpoint, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
     """A client asks for a connection; exactly one final answer is owed."""
 
-    request: str
-    profile: int
-    patience_left_us: int
+    request_id: str
+    request_class: int
+    time_left_us: int
     tenant: int = 0
-    key: int | None = None
+    idempotency_key: int | None = None
     group: int | None = None
     hint_us: float | None = None
     hint_valid: bool = False
-    client_retry: bool = False
-    mid_flow: bool = False
-    returned: bool = False
+    is_client_retry: bool = False
+    is_mid_flow: bool = False
+    is_returning: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Existing:
+class SessionRestored:
     """A connection that stood before this balancer started; its attempt 0 was made."""
 
     request: Request
@@ -193,77 +193,77 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class AttemptEstablished:
     """The server took the connection; no deadline binds from here on."""
 
-    request: str
+    request_id: str
     attempt: int
     server: str
-    spent_us: int
+    elapsed_us: int
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class SessionMetric:
     """News of a running attempt: its load (us of work a second) or a message's delay (ms)."""
 
-    request: str
+    request_id: str
     attempt: int
     server: str
-    kind: NoteKind
+    kind: SessionMetricKind
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptOutcome:
     """How an attempt ended; `final` means that no answer is owed any more."""
 
-    request: str
+    request_id: str
     attempt: int
     server: str
-    status: Status
-    spent_us: int
-    final: bool
-    report: tuple[float | None, ...] = ()
+    status: AttemptStatus
+    elapsed_us: int
+    is_final: bool
+    load_report: tuple[float | None, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
+class ClientDisconnected:
     """Nobody waits for this request any more."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class TimerDue:
+class TimerExpired:
     """A timer asked for by SetTimer has come due."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
+class ServerEstimate:
     """What the module believes of a ready server now, for whoever plans moves."""
 
     server: str
     zone: int
     load: float  # over what it can do now
-    unit: float  # what one mean connection adds to that
-    count: float  # connections held, by all balancers
-    age_us: int  # of its last report
-    share: float  # part of its full capacity that it has by now
-    under_way: int  # own set-ups
-    sound: bool  # neither left out nor failing nor late
-    mine: tuple[Request, ...]  # own standing connections on it that are not moving
+    load_per_connection: float  # what one mean connection adds to that
+    connections: float  # connections held, by all balancers
+    report_age_us: int  # of its last report
+    warm_up_fraction: float  # part of its full capacity that it has by now
+    setups_in_flight: int  # own set-ups
+    is_healthy: bool  # neither left out nor failing nor late
+    own_sessions: tuple[Request, ...]  # own standing connections on it that are not moving
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeResult:
+class HealthCheckResult:
     """What one probe found; the report follows `Settings.report_columns`."""
 
     server: str
-    status: Status
-    spent_us: int
-    report: tuple[float | None, ...] = ()
+    status: AttemptStatus
+    elapsed_us: int
+    load_report: tuple[float | None, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -275,15 +275,15 @@
 
 
 Event = (
-    ListUpdate
+    EndpointUpdate
     | Request
-    | Existing
-    | Begun
-    | Note
-    | Outcome
-    | ClientGone
-    | TimerDue
-    | ProbeResult
+    | SessionRestored
+    | AttemptEstablished
+    | SessionMetric
+    | AttemptOutcome
+    | ClientDisconnected
+    | TimerExpired
+    | HealthCheckResult
     | PeerMessage
 )
 
@@ -292,24 +292,24 @@
 class Send:
     """Start an attempt; it is given up at `cut_at_us`."""
 
-    request: str
+    request_id: str
     server: str
-    cut_at_us: int
+    deadline_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
     """Stop waiting for an attempt."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Final answer: turned away, a repeat is harmless. Zero means no advice."""
 
-    request: str
+    request_id: str
     retry_after_us: int = 0
 
 
@@ -317,25 +317,25 @@
 class Fail:
     """Final answer: failed, nothing is promised about the effect."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
-class Move:
+class Migrate:
     """Close a standing connection cleanly; its client comes back."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
     """Open or close the subscription to the server list."""
 
-    want: bool
+    is_wanted: bool
 
 
 @dataclass(frozen=True, slots=True)
-class FetchList:
+class FetchEndpoints:
     """Ask once for the whole server list."""
 
 
@@ -348,7 +348,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
+class CheckHealth:
     """Check on a server and read its load report."""
 
     server: str
@@ -362,7 +362,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class Gossip:
     """A message to one peer, or to all of them where `peer` is None."""
 
     peer: int | None
@@ -377,5 +377,16 @@
 
 
 Action = (
-    Send | Cancel | Refuse | Fail | Move | Subscribe | FetchList | SetTimer | Probe | CloseIdle | Tell | Log
+    Send
+    | Cancel
+    | Reject
+    | Fail
+    | Migrate
+    | Subscribe
+    | FetchEndpoints
+    | SetTimer
+    | CheckHealth
+    | CloseIdle
+    | Gossip
+    | Log
 )
--- a/stoatgw/decisions/records.py
+++ b/stoatgw/decisions/records.py
@@ -5,16 +5,18 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from stoatgw.decisions.interface import Request, ServerEntry, Status
+from stoatgw.decisions.interface import AttemptStatus, Endpoint, Request, Settings
 
-LOST = (Status.DIAL_FAILED, Status.EXPIRED, Status.DROPPED)
+LOST = (AttemptStatus.DIAL_FAILED, AttemptStatus.EXPIRED, AttemptStatus.DROPPED)
+
+RESTART_LISTED_US = 8_000_000  # a restart that was seen counts so long: the endpoint list tells of it by then
 
 
 @dataclass(slots=True)
-class Server:
+class ServerState:
     """What is known of one server process."""
 
-    entry: ServerEntry
+    entry: Endpoint
     cold_filled_us: int  # when `cold_credit` was last brought up to date
     turn: int  # this balancer's place among those that may fill it while it is cold
     cold_credit: float = 0.0  # connections that may be sent while it is cold
@@ -25,7 +27,7 @@
     reported_us: int = 0  # when that report came
     unshown: list[tuple[int, float]] = field(default_factory=list)  # (time, change of n) not reported yet
     unshown_units: float = 0.0  # their sum, kept beside them: it is asked for far more often than they change
-    mine: dict[str, Connection] = field(default_factory=dict)  # own connections on it, by request
+    mine: dict[str, ConnectionState] = field(default_factory=dict)  # own connections on it, by request
     groups: Counter[int | None] = field(default_factory=Counter)  # own connections of each group
     asked_us: int = -(10**9)  # when it was last probed
     probe_failures: int = 0  # in a row
@@ -39,15 +41,24 @@
     lost_us: int = 0  # when it last failed to
     back_us: int = 0  # when it was seen to have come back empty
 
-    def hold(self, connection: Connection) -> None:
+    def hold(self, connection: ConnectionState) -> None:
         self.groups[connection.asked.group] += 1
-        self.mine[connection.asked.request] = connection
+        self.mine[connection.asked.request_id] = connection
 
-    def release(self, connection: Connection) -> None:
+    def release(self, connection: ConnectionState) -> None:
         self.groups[connection.asked.group] -= 1
         if not self.groups[connection.asked.group]:
             del self.groups[connection.asked.group]
-        del self.mine[connection.asked.request]
+        del self.mine[connection.asked.request_id]
+
+    def warm_up_fraction(self, now_us: int, settings: Settings) -> float:
+        """Part of its full capacity that the server surely has by now, from `settings.cold_from` to 1."""
+        seen_restarting = self.back_us > now_us - RESTART_LISTED_US
+        start_us = self.back_us if seen_restarting else self.entry.started_us
+        age_us = now_us - start_us
+        if start_us <= 0 or age_us >= settings.cold_us:
+            return 1.0
+        return settings.cold_from + (1.0 - settings.cold_from) * max(0, age_us) / settings.cold_us
 
     def sample(self, now_us: int, rate: float, most: int, span_us: int) -> None:
         """One more sample of r, beside the latest others: so many at most, no older than the span."""
@@ -60,6 +71,13 @@
         self.unshown = [change for change in self.unshown if change[0] > until_us]
         self.unshown_units = sum(units for _, units in self.unshown)
 
+    def fold_shown(self, until_us: int, *, keep: bool) -> None:
+        """Drop what a report shows; `keep`: as one change, which the next report will show in any case."""
+        before = self.unshown_units
+        self.drop_shown(until_us)
+        if keep:
+            self.change(0, before - self.unshown_units)
+
     def change(self, since_us: int, units: float) -> None:
         """Its connections are so many units more since a time, which no report has shown."""
         self.unshown.append((since_us, units))
@@ -67,33 +85,35 @@
 
 
 @dataclass(slots=True, eq=False)
-class Connection:
+class ConnectionState:
     """A request from its arrival to its end."""
 
     asked: Request
     deadline_us: int
     units: float  # its load in mean connections
-    server: Server | None = None  # where its attempt is out, or where it stands
+    server: ServerState | None = None  # where its attempt is out, or where it stands
     sent_us: int = 0
     tried: list[str] = field(default_factory=list)
     rounds: int = 0  # of probes asked for it
     standing: bool = False
     moving: bool = False  # asked to leave its server
     abandoned: bool = False  # the client has gone
-    erred: Server | None = None  # the server that answered the last try with an error
-    first_run: tuple[ServerEntry, int] | None = None  # first attempt that may have run, when sent
+    erred: ServerState | None = None  # the server that answered the last try with an error
+    first_run: tuple[Endpoint, int] | None = None  # first attempt that may have run, when sent
 
 
 @dataclass(slots=True)
-class Fleet:
+class FleetState:
     """What is known of all servers together."""
 
-    ready: list[Server] = field(default_factory=list)
-    near: list[Server] = field(default_factory=list)  # ready and settled, own zone, in a random order
-    far: list[Server] = field(default_factory=list)  # the same, other zones
-    filling: list[Server] = field(default_factory=list)  # just started, and this balancer may fill them
-    fresh: dict[str, Server] = field(default_factory=dict)  # settled, and heard of since the last sorting out at least
-    heed_ejection: bool = True
+    ready: list[ServerState] = field(default_factory=list)
+    near: list[ServerState] = field(default_factory=list)  # ready and settled, own zone, in a random order
+    far: list[ServerState] = field(default_factory=list)  # the same, other zones
+    filling: list[ServerState] = field(default_factory=list)  # just started, and this balancer may fill them
+    fresh: dict[str, ServerState] = field(
+        default_factory=dict
+    )  # settled, and heard of since the last sorting out at least
+    honors_ejection: bool = True
     doubt_us: dict[int, int] = field(default_factory=dict)  # zones of which much fails: since when
     rate: float | None = None  # mean r
     kind_rates: dict[int, float] = field(default_factory=dict)  # mean r of each machine kind
@@ -108,12 +128,34 @@
             self.kind_rates = {kind: loads[kind] / counts[kind] for kind in counts}
             self.rate = sum(loads.values()) / sum(counts.values())
 
-    def contact(self, server: Server, status: Status, now_us: int, span_us: int) -> None:
+    def learn_weight(self, endpoint: Endpoint, count: float) -> None:
+        """What a live weight stands for: connections times weight, a running mean of each machine kind."""
+        held = count * endpoint.weight
+        mean = self.kind_held.get(endpoint.machine_kind)
+        self.kind_held[endpoint.machine_kind] = 0.9 * mean + 0.1 * held if mean else held
+
+    def rate_of(self, server: ServerState, since_us: int) -> float:
+        """r: the mean of the server's samples; without one since then, that of its kind, then the fleet's."""
+        if server.lookback and server.lookback[-1][0] > since_us:
+            return server.rate
+        return self.kind_rates.get(server.entry.machine_kind, self.rate or 0.0)
+
+    def weight_tells_count(self, server: ServerState, since_us: int) -> bool:
+        """Whether the live weight, which all lists carry each second, tells n better than a report before then."""
+        is_stale = server.reported_us < since_us
+        return is_stale and 0.0 < server.entry.weight < 1e9 and server.entry.machine_kind in self.kind_held
+
+    def update_panic_mode(self, now_us: int) -> None:
+        """Where most of the fleet fails at once the cause is shared: ejecting would only add to it."""
+        ejected = sum(server.ejected_until_us > now_us for server in self.ready)
+        self.honors_ejection = 2 * ejected <= len(self.ready)
+
+    def contact(self, server: ServerState, status: AttemptStatus, now_us: int, span_us: int) -> None:
         """Whether it answers. A zone is in doubt while more of it fail within the span than answer, two at least."""
         zone, since_us = server.entry.zone, now_us - span_us
         if status in LOST:
             server.lost_us = now_us
-        elif status in (Status.DELIVERED, Status.SHED, Status.APP_ERROR):
+        elif status in (AttemptStatus.DELIVERED, AttemptStatus.SHED, AttemptStatus.APP_ERROR):
             server.heard_us = now_us
         if status not in LOST and not self.doubt_us.get(zone):
             return
@@ -124,7 +166,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class BalancerState:
     """Running counts of this balancer's own connections and probes."""
 
     probes_due: float
@@ -147,7 +189,7 @@
         return units
 
 
-class Waits:
+class PendingHealthChecks:
     """Connections that wait for the answers of probes sent for them. A wait ends once: answered, late or dropped."""
 
     def __init__(self) -> None:
--- a/stoatgw/decisions/cold.py
+++ b/stoatgw/decisions/slow_start.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class SlowStartBudget:
     """Connections for all who fill it: each microsecond, in a window; and how many fill it."""
 
     gain: float
@@ -27,13 +27,13 @@
     owners: int
 
 
-class ColdRule:
+class SlowStartLimiter:
     """The settings' rule as one of their balancers follows it; `many`: the balancers fill each server in a round."""
 
     def __init__(self, settings: Settings, *, many: bool) -> None:
         self._settings, self._many = settings, many
 
-    def budget(self, share: float, rate: float | None) -> Budget:
+    def budget(self, share: float, rate: float | None) -> SlowStartBudget:
         """At that share of a server's capacity; `rate`: mean load of a connection, None while it is not known."""
         settings = self._settings
         gain = 1.0 / max(1, settings.fall_us)
@@ -41,12 +41,12 @@
             work_us = rate * settings.cold_us if self._many else SETUP_US + rate * settings.fall_us
             gain = CAUTION * settings.fall_multiple * share / work_us
         if self._many:
-            return Budget(gain * MANY, gain * MANY * settings.fall_us, settings.balancers)
+            return SlowStartBudget(gain * MANY, gain * MANY * settings.fall_us, settings.balancers)
         # A part too small for one connection is no use: as many share it as get one in a window each.
         owners = max(1, int(2 * gain * settings.fall_us / (1.0 + GROUP * settings.groups)))
-        return Budget(gain, gain * settings.fall_us, min(settings.balancers, owners))
+        return SlowStartBudget(gain, gain * settings.fall_us, min(settings.balancers, owners))
 
-    def refilled(self, credit: float, budget: Budget, share: float, since_us: int) -> float:
+    def refilled(self, credit: float, budget: SlowStartBudget, share: float, since_us: int) -> float:
         """The bucket after that time."""
         settings, each = self._settings, budget.gain / budget.owners
         if not self._many:
@@ -58,12 +58,12 @@
         most = 1.0 + SPAN_US * each  # beyond it the place has lapsed
         return credit % 1.0 if credit > most else min(credit, 1.0 + credit % 1.0)
 
-    def has_room(self, credit: float, budget: Budget, units: float) -> bool:
+    def has_room(self, credit: float, budget: SlowStartBudget, units: float) -> bool:
         """Whether a connection of so many units may be sent; a heavy one may take the bucket below zero."""
         if self._many:
             return credit >= 1.0
         most = self._most(budget)
         return credit >= min(most, max(1.0, units)) and units <= max(most, budget.window)
 
-    def _most(self, budget: Budget) -> float:
+    def _most(self, budget: SlowStartBudget) -> float:
         return max(1.0 + GROUP * self._settings.groups, budget.window / budget.owners)
--- a/stoatgw/director/backoff.py
+++ b/stoatgw/discovery/backoff.py
@@ -29,18 +29,18 @@
         self._span_s = FIRST_S
 
     @property
-    def longest_s(self) -> float:
+    def max_delay_s(self) -> float:
         return self._most_s * (1 + JITTER) if self._many else self._most_s
 
-    def begin_s(self) -> float:
+    def initial_delay_s(self) -> float:
         """Before the first call, where a last copy of the list is at hand."""
         return self._chance.random() * self._spread_s if self._many else 0.0
 
-    def answered(self) -> None:
+    def reset(self) -> None:
         """Discovery has told something: the next trouble is a new one."""
         self._span_s = FIRST_S
 
-    def next_s(self, *, busy: bool = False) -> float:
+    def next_delay_s(self, *, busy: bool = False) -> float:
         """After a call that failed or a watch that ended; `busy`: discovery turned the call away."""
         if busy:
             self._span_s = max(self._span_s, self._most_s / BUSY_PART)
--- a/stoatgw/director/director.py
+++ b/stoatgw/discovery/client.py
@@ -9,15 +9,14 @@
 
 import orjson
 
-from stoatgw.backends.backend import Backend, Backends
+from stoatgw.backends.backend import Backend, BackendRegistry
+from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address
-from stoatgw.decisions.interface import Lifecycle, ListKind, ListUpdate, ServerEntry
-from stoatgw.director.backoff import Backoff
-from stoatgw.director.http import HttpBusyError, HttpError, HttpObjects
-from stoatgw.director.list import ListError, ListReader, Page, Row
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import Listed
-from stoatgw.owner.owner import Owner
+from stoatgw.controller.messages import EndpointsUpdated, MessageQueue
+from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Lifecycle
+from stoatgw.discovery.backoff import Backoff
+from stoatgw.discovery.endpoint_list import EndpointListError, EndpointListPage, EndpointListParser, Row
+from stoatgw.discovery.http import HttpBusyError, HttpError, JsonStreamParser
 from stoatgw.sockets import calls
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
@@ -28,7 +27,7 @@
 CALLS_MOST = 3  # open at once, the quiet ones that may speak yet among them
 
 
-class Call:
+class WatchCall:
     """One call to discovery, open."""
 
     def __init__(self) -> None:
@@ -40,20 +39,20 @@
             self.task.cancel()
 
 
-class Director:
+class DiscoveryClient:
     def __init__(
         self,
         address: Address,
-        reader: ListReader,
-        backends: Backends,
-        owner: Owner,
+        reader: EndpointListParser,
+        backends: BackendRegistry,
+        owner: MessageQueue,
         clock: Clock,
         left: Callable[[Backend], None],
         log: EventLog,
         counters: Counters,
         backoff: Backoff,
         answer_s: float = PUSHED_ANSWER_S,
-        lay: Callable[[ServerEntry], ServerEntry] = lambda entry: entry,
+        lay: Callable[[Endpoint], Endpoint] = lambda entry: entry,
     ) -> None:
         self._address, self._reader, self._backends = address, reader, backends
         self._owner, self._clock, self._left = owner, clock, left
@@ -61,40 +60,40 @@
         self._answer_s = answer_s  # a call that has said nothing for so long is not waited for any longer
         self._rows: dict[str, Row] = {}  # as discovery told them
         self._version: int | None = None
-        self.told_us: int | None = None  # when discovery first told anything
-        self._calls: list[Call] = []  # oldest first
+        self.first_update_us: int | None = None  # when discovery first told anything
+        self._calls: list[WatchCall] = []  # oldest first
         self._call_at_s = 0.0  # when another call is due, by the loop's clock
         self._stirred = asyncio.Event()  # that time has changed
 
     @property
-    def listed(self) -> int:
+    def endpoint_count(self) -> int:
         """How many session servers the list holds."""
         return len(self._rows)
 
-    def lists(self, name: str) -> bool:
+    def has_endpoint(self, name: str) -> bool:
         return name in self._rows
 
-    def entries(self) -> list[ServerEntry]:
+    def endpoints(self) -> list[Endpoint]:
         """The list as discovery tells it, without what is laid over it."""
         return [entry for entry, _, _ in self._rows.values()]
 
-    def known(self, data: Any) -> None:
+    def load_snapshot(self, data: Any) -> None:
         """Take the last copy, which may be old."""
         if data is not None:
-            self._read(data, ListKind.DISK)
+            self._read(data, EndpointUpdateKind.CACHED)
 
-    def tell_all(self) -> None:
+    def publish_all(self) -> None:
         """Tell the owner the whole list once more."""
         entries = tuple(self._lay(entry) for entry, _, _ in self._rows.values())
-        self._owner.put(Listed(ListUpdate(ListKind.SNAPSHOT, self._version or 0, entries)))
+        self._owner.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, self._version or 0, entries)))
 
-    def tell_again(self, names: Iterable[str]) -> None:
+    def republish(self, names: Iterable[str]) -> None:
         """Tell of these as they are seen now: what is laid over the list has changed."""
         rows = [self._rows[name] for name in names if name in self._rows]
         if rows:
-            self._pass_on(rows, ListKind.DIFF)
+            self._pass_on(rows, EndpointUpdateKind.DELTA)
 
-    def move_to(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Watch at another address from now on, after the version held; the list is kept meanwhile."""
         if address == self._address:
             return
@@ -111,7 +110,7 @@
         call speaks first is kept alone, since what both of them hold may differ.
         """
         loop = asyncio.get_running_loop()
-        self._call_in(0.0 if self._version is None else self._backoff.begin_s())
+        self._call_in(0.0 if self._version is None else self._backoff.initial_delay_s())
         try:
             while True:
                 if loop.time() >= self._call_at_s:
@@ -127,7 +126,7 @@
         self._call_at_s = asyncio.get_running_loop().time() + after_s
         self._stirred.set()
 
-    def _keep_only(self, kept: Call | None) -> None:
+    def _keep_only(self, kept: WatchCall | None) -> None:
         for call in self._calls:
             if call is not kept:
                 call.close()
@@ -140,12 +139,12 @@
         if self._calls:
             self._counters.add("watch_quiet")
             self._log.event("watch_quiet", calls=len(self._calls))
-        call = Call()
+        call = WatchCall()
         self._calls.append(call)
         call.task = asyncio.get_running_loop().create_task(self._run_call(call))
         self._call_in(self._answer_s)
 
-    async def _run_call(self, call: Call) -> None:
+    async def _run_call(self, call: WatchCall) -> None:
         """One call from its connect to its end, which is told only where it was not closed by us."""
         busy = False
         try:
@@ -163,11 +162,11 @@
         if call in self._calls:
             self._calls.remove(call)
             if call.heard:
-                self._backoff.answered()
-            self._call_in(self._backoff.next_s(busy=busy))
+                self._backoff.reset()
+            self._call_in(self._backoff.next_delay_s(busy=busy))
 
-    async def _watch(self, call: Call) -> None:
-        loop, http, buffer = asyncio.get_running_loop(), HttpObjects(), bytearray(65536)
+    async def _watch(self, call: WatchCall) -> None:
+        loop, http, buffer = asyncio.get_running_loop(), JsonStreamParser(), bytearray(65536)
         after = "" if self._version is None else f"&after={self._version}"
         address = self._address
         sock = calls.make()
@@ -198,17 +197,17 @@
             data = orjson.loads(item)
         except orjson.JSONDecodeError as error:
             return self._bad(str(error))
-        return self._read(data, ListKind.DIFF)
+        return self._read(data, EndpointUpdateKind.DELTA)
 
-    def _read(self, data: Any, kind: ListKind) -> bool:
+    def _read(self, data: Any, kind: EndpointUpdateKind) -> bool:
         """Whether the object was good; a bad one changes nothing, the last list is kept."""
         try:
-            page = self._reader.page(data)
-        except ListError as error:
+            page = self._reader.parse_page(data)
+        except EndpointListError as error:
             return self._bad(str(error))
-        if kind is ListKind.DIFF and page.whole:
-            kind = ListKind.SNAPSHOT
-        if kind is ListKind.DIFF and page.version < (self._version or 0):
+        if kind is EndpointUpdateKind.DELTA and page.is_complete:
+            kind = EndpointUpdateKind.SNAPSHOT
+        if kind is EndpointUpdateKind.DELTA and page.version < (self._version or 0):
             # Changes of a time before ours, or of another count: taken in, a server that drains would serve again.
             self._version = None  # the whole list is asked for next
             return self._bad("the generation went back")
@@ -220,24 +219,26 @@
         self._log.event("list_object_bad", why=why[:200])
         return False
 
-    def _take(self, page: Page, kind: ListKind) -> None:
+    def _take(self, page: EndpointListPage, kind: EndpointUpdateKind) -> None:
         self._counters.add("list_objects")
-        whole = kind is not ListKind.DIFF
+        whole = kind is not EndpointUpdateKind.DELTA
         if whole:
             self._rows = {}
         for row in page.rows:
-            self._rows[row[0].server] = row
-            if row[0].lifecycle is Lifecycle.OFF:
-                del self._rows[row[0].server]
+            self._rows[row[0].name] = row
+            if row[0].lifecycle is Lifecycle.REMOVED:
+                del self._rows[row[0].name]
         self._version = page.version
-        if kind is not ListKind.DISK and self.told_us is None:
-            self.told_us = self._clock.now_us()
+        if kind is not EndpointUpdateKind.CACHED and self.first_update_us is None:
+            self.first_update_us = self._clock.now_us()
         if page.rows or whole:
             self._log.event("list", kind=kind.value, version=page.version, entries=len(page.rows))
             self._pass_on(page.rows, kind)
 
-    def _pass_on(self, rows: Sequence[Row], kind: ListKind) -> None:
+    def _pass_on(self, rows: Sequence[Row], kind: EndpointUpdateKind) -> None:
         laid = [(self._lay(entry), host, port) for entry, host, port in rows]
-        for backend in self._backends.listed(laid, kind is not ListKind.DIFF, self._clock.now_us()):
+        for backend in self._backends.update(laid, kind is not EndpointUpdateKind.DELTA, self._clock.now_us()):
             self._left(backend)
-        self._owner.put(Listed(ListUpdate(kind, self._version or 0, tuple(entry for entry, _, _ in laid))))
+        self._owner.post(
+            EndpointsUpdated(EndpointUpdate(kind, self._version or 0, tuple(entry for entry, _, _ in laid)))
+        )
--- a/stoatgw/director/http.py
+++ b/stoatgw/discovery/http.py
@@ -19,7 +19,7 @@
     """The server has too much to do (429 or 503): each further call makes it worse."""
 
 
-class JsonObjects:
+class JsonObjectSplitter:
     """Bytes into whole JSON objects, however they are cut or indented; an empty line between two gives b"".
 
     Only nesting and strings are followed: what is wrong within an object shows when it is read.
@@ -92,12 +92,12 @@
                     return mark.end()
 
 
-class HttpObjects:
+class JsonStreamParser:
     """Feeds an HTTP answer to httptools; gives the body's objects, and b"" for an empty line."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._objects = JsonObjects()
+        self._objects = JsonObjectSplitter()
         self._found: list[bytes] = []
         self._status = 200
         self.done = False
--- a/stoatgw/emulator/checker.py
+++ b/stoatgw/emulator/checker/checker.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from stoatgw.emulator.events import Event, What
-from stoatgw.emulator.machine import COLD_SLACK
+from stoatgw.emulator.world.events import Event, EventKind
+from stoatgw.emulator.world.server_model import COLD_SLACK
 
 
 class Rule(StrEnum):
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """A rule broken: which, when (us from the run's start), and by whom."""
 
     rule: Rule
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Figures:
+class CheckerLimits:
     """What the rules are measured by."""
 
     drain_grace_us: int
@@ -76,7 +76,7 @@
 class Checker:
     """Feed it every record in order, then `finish`; `broken` has what it found."""
 
-    def __init__(self, figures: Figures) -> None:
+    def __init__(self, figures: CheckerLimits) -> None:
         self._figures = figures
         self._reqs: dict[str, _Req] = {}
         self._out: dict[str, dict[int, str]] = {}  # attempts that are out, by req
@@ -87,61 +87,61 @@
         self._stopped: dict[str, int] = {}  # proxies that do not run, since when
         self._frozen: dict[str, list[tuple[int, int]]] = {}
         self._groups_units: dict[tuple[str, int], float] = {}
-        self.broken: list[Broken] = []
+        self.broken: list[Violation] = []
         self.counts: dict[str, int] = {}
 
     def _break(self, rule: Rule, event: Event, why: str, server: str = "") -> None:
-        self.broken.append(Broken(rule, event.t_us, event.proxy, event.req, server or event.server, why))
+        self.broken.append(Violation(rule, event.t_us, event.proxy, event.req, server or event.server, why))
 
     def feed(self, event: Event) -> None:
         match event.what:
-            case What.TAKEN:
+            case EventKind.TAKEN:
                 if event.req in self._reqs:
                     self._break(Rule.ONE_ANSWER, event, "an id is taken twice")
                 self._reqs[event.req] = _Req(event.number, event.proxy)
-            case What.ANSWER:
+            case EventKind.ANSWER:
                 self._answered(event)
-            case What.GONE:
+            case EventKind.GONE:
                 req = self._reqs.get(event.req)
                 if req is not None:
                     req.gone = True
-            case What.SENT:
+            case EventKind.SENT:
                 self._sent(event)
-            case What.RAN:
+            case EventKind.RAN:
                 self._ran(event)
-            case What.ENDED:
+            case EventKind.ENDED:
                 out = self._out.get(event.req)
                 if out is not None:
                     out.pop(event.number, None)
                     if not out:
                         del self._out[event.req]
-            case What.TOLD:
+            case EventKind.TOLD:
                 self._told(event)
-            case What.STARTED:
+            case EventKind.STARTED:
                 cold_from, cold_us = event.detail.split(",")
                 self._cold[event.server] = _Cold(event.t_us, event.number / 1000, float(cold_from), int(cold_us))
                 self._silent.discard(event.server)
-            case What.LIVE:
+            case EventKind.LIVE:
                 self._silent.discard(event.server)
-            case What.SILENT:
+            case EventKind.SILENT:
                 self._silent.add(event.server)
-            case What.FELL:
+            case EventKind.FELL:
                 self._fell(event)
-            case What.UP:
+            case EventKind.UP:
                 req = self._reqs.setdefault(event.req, _Req(1 << 62, event.proxy, answered=True))
                 req.up, req.server = True, event.server
-            case What.MOVED | What.OVER:
+            case EventKind.MOVED | EventKind.OVER:
                 self._reqs.pop(event.req, None)
-            case What.CUT:
+            case EventKind.CUT:
                 self._cut(event)
-            case What.PROXY:
+            case EventKind.PROXY:
                 self._proxy(event)
-            case What.HELD:
+            case EventKind.HELD:
                 if event.number:
                     self._break(Rule.NOTHING_HELD, event, f"{event.number} reqs are still known at the end")
-            case What.NOTE:
+            case EventKind.NOTE:
                 self._break(Rule.NO_FAULT, event, event.detail)
-            case What.FAULT:
+            case EventKind.FAULT:
                 pass
         self.counts[event.what.value] = self.counts.get(event.what.value, 0) + 1
 
@@ -229,21 +229,29 @@
                 if req.proxy != event.proxy:
                     continue
                 if stopped and not req.answered and not req.gone:
-                    self.broken.append(Broken(Rule.ONE_ANSWER, event.t_us, event.proxy, name, "",
-                                              "the proxy ended without an answer to it"))  # fmt: skip
+                    self.broken.append(
+                        Violation(
+                            Rule.ONE_ANSWER,
+                            event.t_us,
+                            event.proxy,
+                            name,
+                            "",
+                            "the proxy ended without an answer to it",
+                        )
+                    )
                 del self._reqs[name]
                 self._out.pop(name, None)
             for key in [key for key in self._leaving if key[0] == event.proxy]:
                 del self._leaving[key]
 
-    def finish(self, t_us: int) -> list[Broken]:
+    def finish(self, t_us: int) -> list[Violation]:
         """The log is over at `t_us`: whoever was owed an answer by then and has none was forgotten."""
         for name, req in self._reqs.items():
             waited_us = t_us - req.deadline_us - self._figures.slack_us
             if not req.answered and waited_us > 0 and not self._excused(req, t_us):
                 why = "no answer, and its client's time is up" if not req.gone else "no answer though its client left"
                 if not req.gone:
-                    self.broken.append(Broken(Rule.ONE_ANSWER, t_us, req.proxy, name, "", why))
+                    self.broken.append(Violation(Rule.ONE_ANSWER, t_us, req.proxy, name, "", why))
         return self.broken
 
     def _excused(self, req: _Req, t_us: int) -> bool:
--- a/stoatgw/emulator/engine/gateway.py
+++ b/stoatgw/emulator/engine/gateway.py
@@ -47,9 +47,11 @@
 
 def _pair(key: bytes, entry: Entry) -> Body:
     pair = {
-        "key": base64.b64encode(key).decode(), "create_revision": str(entry.create),
-        "mod_revision": str(entry.change), "version": str(entry.version),
-    }  # fmt: skip
+        "key": base64.b64encode(key).decode(),
+        "create_revision": str(entry.create),
+        "mod_revision": str(entry.change),
+        "version": str(entry.version),
+    }
     if entry.value:
         pair["value"] = base64.b64encode(entry.value).decode()
     if entry.lease:
@@ -119,6 +121,9 @@
 
 
 PATHS: dict[str, Callable[[Store, Body, int], Body]] = {
-    "/v3/lease/grant": _grant, "/v3/lease/keepalive": _keep_alive, "/v3/lease/revoke": _revoke,
-    "/v3/kv/range": _range, "/v3/kv/txn": _txn,
-}  # fmt: skip
+    "/v3/lease/grant": _grant,
+    "/v3/lease/keepalive": _keep_alive,
+    "/v3/lease/revoke": _revoke,
+    "/v3/kv/range": _range,
+    "/v3/kv/txn": _txn,
+}
--- a/stoatgw/emulator/loopback/clients.py
+++ b/stoatgw/emulator/loopback/clients.py
@@ -8,9 +8,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from stoatgw.emulator.events import What
 from stoatgw.emulator.loopback import wire
-from stoatgw.emulator.population import Client
+from stoatgw.emulator.world.events import EventKind
+from stoatgw.emulator.world.population import Client
 
 if TYPE_CHECKING:
     from stoatgw.emulator.loopback.driver import LoopbackWorld
@@ -74,7 +74,9 @@
             name = world.realm.proxies[self.proxy]
             if not self.at:
                 index = str(self.client.index)
-                world.realm.log(What.TAKEN, name, self.name, number=deadline_us - world.realm.start_us, detail=index)
+                world.realm.log(
+                    EventKind.TAKEN, name, self.name, number=deadline_us - world.realm.start_us, detail=index
+                )
                 world.scheduler.at(deadline_us, partial(world.give_up, self))
             lines.write(self.line + b"\r\n")
             first = await lines.read_line()
@@ -85,7 +87,7 @@
             cut = await self._stand(lines)
             if cut == "left":
                 return
-            world.realm.log(What.MOVED if cut == "moved" else What.OVER, name, self.name, detail=cut)
+            world.realm.log(EventKind.MOVED if cut == "moved" else EventKind.OVER, name, self.name, detail=cut)
             if cut != "BYE":
                 world.lost(self, cut)
         except OSError as error:
@@ -104,10 +106,10 @@
         kind = {b"UP": "up", b"BUSY": "busy"}.get(word, "err")
         advice_us = int(rest) * 1000 if kind == "busy" and rest.isdigit() else 0
         if not self.at:
-            world.realm.log(What.ANSWER, name, self.name, number=advice_us, detail=kind)
+            world.realm.log(EventKind.ANSWER, name, self.name, number=advice_us, detail=kind)
         if kind == "up":
             self.server = rest.decode("ascii", "replace")
-            world.realm.log(What.UP, name, self.name, self.server, detail=str(self.client.index))
+            world.realm.log(EventKind.UP, name, self.name, self.server, detail=str(self.client.index))
             if not self.up.done():
                 self.up.set_result(True)
         elif not self.up.done():
@@ -141,7 +143,7 @@
         if self._leaving:
             return "left"
         if not world.server_ended(self.name) and world.runs(self.proxy):
-            world.realm.log(What.CUT, world.realm.proxies[self.proxy], self.name, self.server, detail=how)
+            world.realm.log(EventKind.CUT, world.realm.proxies[self.proxy], self.name, self.server, detail=how)
         return "broken"
 
     def _broken(self, why: str) -> None:
@@ -153,7 +155,7 @@
         if self._leaving:
             return
         if self.server and self._cut_off(why) == "broken":
-            world.realm.log(What.OVER, name, self.name, detail="broken")
+            world.realm.log(EventKind.OVER, name, self.name, detail="broken")
         world.lost(self, "broken")
 
     def _beat(self) -> None:
--- a/stoatgw/emulator/loopback/discovery.py
+++ b/stoatgw/emulator/loopback/discovery.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stoatgw.emulator.loopback import wire
-from stoatgw.emulator.realm import Told
+from stoatgw.emulator.world.world_state import EndpointEntry
 
 if TYPE_CHECKING:
     from stoatgw.emulator.loopback.driver import LoopbackWorld
@@ -48,7 +48,7 @@
         if self._sock is not None:
             self._sock.close()
 
-    def page(self, rows: list[Told], whole: bool) -> dict[str, Any]:
+    def page(self, rows: list[EndpointEntry], whole: bool) -> dict[str, Any]:
         """Rows in discovery's form."""
         world = self._world
         instances = []
@@ -56,18 +56,22 @@
             host, port = wire.server_address(world.numbers[row.server], self._proxy, world.base)
             instances.append(
                 {
-                    "instanceId": row.server, "hostPort": f"{host}:{port}",
+                    "instanceId": row.server,
+                    "hostPort": f"{host}:{port}",
                     "zone": world.realm.scenario.fleet.zones[row.zone],
-                    "machineType": world.realm.scenario.fleet.kinds[row.kind].name, "cell": 0,
-                    "lifecycle": row.lifecycle, "weight": 1.0, "startedAtMs": row.started_us // 1000,
+                    "machineType": world.realm.scenario.fleet.kinds[row.machine_kind].name,
+                    "cell": 0,
+                    "lifecycle": row.lifecycle,
+                    "weight": 1.0,
+                    "startedAtMs": row.started_us // 1000,
                 }
-            )  # fmt: skip
+            )
         return {"generation": self._generation, "reset": whole, "instances": instances}
 
     def whole(self) -> dict[str, Any]:
         return self.page(list(self._world.realm.known[self._proxy].values()), True)
 
-    def tell(self, rows: list[Told], whole: bool) -> bool:
+    def tell(self, rows: list[EndpointEntry], whole: bool) -> bool:
         """Write to whoever watches; whether anybody does."""
         self._generation += 1
         line = json.dumps(self.page(rows, whole)).encode() + b"\n"
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -15,18 +15,18 @@
 import msgspec
 import uvloop
 
-from stoatgw.emulator import troubles
-from stoatgw.emulator.crowd import Crowd
-from stoatgw.emulator.events import EventSink, What
 from stoatgw.emulator.loopback import wire
 from stoatgw.emulator.loopback.clients import Visit
 from stoatgw.emulator.loopback.clock import RealTime
 from stoatgw.emulator.loopback.discovery import Discovery
 from stoatgw.emulator.loopback.processes import ProxyProcess
 from stoatgw.emulator.loopback.servers import Link, Server
-from stoatgw.emulator.machine import Held, Life, Machine
-from stoatgw.emulator.realm import Realm, Told
-from stoatgw.emulator.scenario import Scenario
+from stoatgw.emulator.world import faults
+from stoatgw.emulator.world.client_population import ClientPopulation
+from stoatgw.emulator.world.events import EventKind, EventSink
+from stoatgw.emulator.world.scenario import Scenario
+from stoatgw.emulator.world.server_model import Held, ServerLifecycle, ServerModel
+from stoatgw.emulator.world.world_state import EndpointEntry, WorldState
 
 BASE = 60  # the addresses are 127.60.x.x and up
 AFTER_S = 4.0  # after the last arrival, until all is answered
@@ -34,22 +34,27 @@
 KILL_S = 3.7  # after SIGTERM, at the soonest where the longest deadline is 3 s or more
 NEWCOMERS_S = (0.2, 0.4)
 FAULTS = (
-    "decision_fault", "recovery_failed", "session_fault", "fetch_fault", "task_ended", "watch_over_sessions_fault",
+    "decision_fault",
+    "recovery_failed",
+    "session_fault",
+    "fetch_fault",
+    "task_ended",
+    "watch_over_sessions_fault",
     "unreadable",
-)  # fmt: skip
+)
 
 
-Watch = Callable[[Realm], dict[str, list[float]]]
+Watch = Callable[[WorldState], dict[str, list[float]]]
 
 
 class LoopbackError(RuntimeError):
     """The run could not begin; the message says what did not come up."""
 
 
-class LoopbackWorld(Crowd[Visit]):
+class LoopbackWorld(ClientPopulation[Visit]):
     def __init__(self, scenario: Scenario, seed: int, sink: EventSink, folder: Path, base: int = BASE) -> None:
         self.scheduler = RealTime(asyncio.get_running_loop())
-        super().__init__(Realm(scenario, seed, self.scheduler, sink, booked=False))
+        super().__init__(WorldState(scenario, seed, self.scheduler, sink, booked=False))
         self.base, self._folder = base, folder
         self.visits: dict[str, Visit] = {}
         self.numbers: dict[str, int] = {}
@@ -80,7 +85,7 @@
             gc.freeze()
             realm.open()
             self.scheduler.begin()
-            troubles.schedule(realm)
+            faults.schedule(realm)
             self.schedule_arrivals()
             if self.watch is not None:
                 self.loads = self.watch(realm)
@@ -105,7 +110,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _open_server(self, machine: Machine) -> None:
+    def _open_server(self, machine: ServerModel) -> None:
         number = self.numbers[machine.draw.name] = len(self.numbers)
         server = self.servers[machine.draw.name] = Server(self, machine, number)
         server.open()
@@ -117,14 +122,18 @@
             host, port = wire.proxy_address(index, self.base)
             watch_host, watch_port = wire.discovery_address(index, self.base)
             config = {
-                "name": name, "listen": f"{host}:{port}", "discovery": f"{watch_host}:{watch_port}",
+                "name": name,
+                "listen": f"{host}:{port}",
+                "discovery": f"{watch_host}:{watch_port}",
                 "seed": f"{realm.streams.number(f'module {index}'):016x}",
                 "limits": {
-                    "cores": 1.0, "memory_mb": realm.scenario.proxies.memory_mb,
+                    "cores": 1.0,
+                    "memory_mb": realm.scenario.proxies.memory_mb,
                     "sockets": realm.scenario.proxies.sockets,
                 },
-                "known": self._discoveries[index].whole(), "settings": realm.settings(index),
-            }  # fmt: skip
+                "known": self._discoveries[index].whole(),
+                "settings": realm.settings(index),
+            }
             # The driver keeps the first core to itself where there are enough.
             mine = {cores[1 + index % (len(cores) - 1)]} if len(cores) > 1 else set(cores)
             self.proxies.append(ProxyProcess(name, config, self._folder, mine, self._own_file()))
@@ -139,7 +148,7 @@
         finally:
             self._cores = set(cores)
         for name in realm.proxies:
-            realm.log(What.PROXY, name, detail="up")
+            realm.log(EventKind.PROXY, name, detail="up")
 
     def _own_file(self) -> dict[str, str]:
         """The operators' own file, where the scenario sets something in it."""
@@ -173,27 +182,27 @@
         realm = self.realm
         for proxy in self.proxies:
             if proxy.peak_mib() > realm.scenario.proxies.memory_mb:
-                realm.log(What.NOTE, proxy.name, detail=f"holds {proxy.peak_mib()} MiB, over its limit")
+                realm.log(EventKind.NOTE, proxy.name, detail=f"holds {proxy.peak_mib()} MiB, over its limit")
         for index, proxy in enumerate(self.proxies):
             if proxy.runs:
                 self._down.add(index)
                 proxy.signal(signal.SIGTERM)
             elif index not in self._down:
-                realm.log(What.NOTE, proxy.name, detail=f"the process ended by itself, status {proxy.status}")
+                realm.log(EventKind.NOTE, proxy.name, detail=f"the process ended by itself, status {proxy.status}")
         for proxy in self.proxies:
             if not await proxy.stopped():
-                realm.log(What.NOTE, proxy.name, detail="did not stop in time after SIGTERM")
+                realm.log(EventKind.NOTE, proxy.name, detail="did not stop in time after SIGTERM")
             for event in proxy.events():
                 if event.get("event") in FAULTS:
-                    realm.log(What.NOTE, proxy.name, detail=str(event)[:300])
+                    realm.log(EventKind.NOTE, proxy.name, detail=str(event)[:300])
                 if event.get("event") == "stopped":
-                    realm.log(What.HELD, proxy.name, number=int(event.get("reqs", 0)))
+                    realm.log(EventKind.HELD, proxy.name, number=int(event.get("reqs", 0)))
 
     # What the stand-ins ask and tell.
 
     def fault(self, text: str) -> None:
         """Something crossed the wire that must not have: a broken rule of the program."""
-        self.realm.log(What.NOTE, detail=text)
+        self.realm.log(EventKind.NOTE, detail=text)
 
     def note_out(self, link: Link) -> None:
         self._out.setdefault(link.req, []).append(link)
@@ -222,7 +231,7 @@
 
     def client_leaves(self, session: Visit) -> None:
         name = self.realm.proxies[session.proxy]
-        self.realm.log(What.OVER if session.server else What.GONE, name, session.name, detail="client left")
+        self.realm.log(EventKind.OVER if session.server else EventKind.GONE, name, session.name, detail="client left")
         session.leave()
 
     def quits(self, session: Visit) -> None:
@@ -230,7 +239,7 @@
 
     # The realm's side: see Stage.
 
-    def tell(self, proxy: int, rows: list[Told], whole: bool) -> None:
+    def tell(self, proxy: int, rows: list[EndpointEntry], whole: bool) -> None:
         self._discoveries[proxy].tell(rows, whole)
         self._log_told(proxy, rows)
 
@@ -240,41 +249,41 @@
     def told_all(self, proxy: int) -> None:
         self._log_told(proxy, list(self.realm.known[proxy].values()))
 
-    def _log_told(self, proxy: int, rows: list[Told]) -> None:
+    def _log_told(self, proxy: int, rows: list[EndpointEntry]) -> None:
         for row in rows:
             started_us = row.started_us - self.realm.start_us if row.started_us else 0
             name = self.realm.proxies[proxy]
-            self.realm.log(What.TOLD, name, server=row.server, number=started_us, detail=row.lifecycle)
+            self.realm.log(EventKind.TOLD, name, server=row.server, number=started_us, detail=row.lifecycle)
 
-    def _end_links(self, machine: Machine, how: str, line: bytes) -> None:
+    def _end_links(self, machine: ServerModel, how: str, line: bytes) -> None:
         for link in list(self.servers[machine.draw.name].links):
             if link.up:
                 self._ended[link.req] = how
                 link.end(how, line)
 
-    def sent_away(self, machine: Machine) -> None:
+    def sent_away(self, machine: ServerModel) -> None:
         self._end_links(machine, "MOVE", b"MOVE\r\n")
 
-    def died(self, machine: Machine) -> None:
+    def died(self, machine: ServerModel) -> None:
         server = self.servers[machine.draw.name]
         for link in server.links:
             self._ended[link.req] = "died"
         server.refuse()
 
-    def grew(self, machine: Machine) -> None:
+    def grew(self, machine: ServerModel) -> None:
         """A machine is there that was not, or its process is back."""
         if machine.draw.name in self.servers:
             self.servers[machine.draw.name].open()
         else:
             self._open_server(machine)
 
-    def vanished(self, machine: Machine) -> None:
+    def vanished(self, machine: ServerModel) -> None:
         for proxy in range(len(self.proxies)):
             self.servers[machine.draw.name].mute(proxy, True)
         for link in self.servers[machine.draw.name].links:
             self._ended[link.req] = "vanished"
 
-    def dropped(self, machine: Machine, connections: list[Held]) -> None:
+    def dropped(self, machine: ServerModel, connections: list[Held]) -> None:
         for held in connections:
             self._ended[held.conn] = "dropped"
             if held.on_drop is not None:
@@ -283,7 +292,10 @@
     def cut_zones(self, cut: bool) -> None:
         for proxy in range(len(self.proxies)):
             for server in self.servers.values():
-                if server.machine.life is Life.SERVING and self.realm.proxy_zone(proxy) != server.machine.draw.zone:
+                if (
+                    server.machine.life is ServerLifecycle.SERVING
+                    and self.realm.proxy_zone(proxy) != server.machine.draw.zone
+                ):
                     server.mute(proxy, cut)
 
     def restart_proxy(self, proxy: int) -> None:
@@ -292,16 +304,16 @@
 
     async def _restart(self, proxy: int) -> None:
         there, realm = self.proxies[proxy], self.realm
-        realm.log(What.PROXY, there.name, detail="draining")
+        realm.log(EventKind.PROXY, there.name, detail="draining")
         there.signal(signal.SIGTERM)
         shut_us = self.scheduler.now_us() + int(self.front.between(*NEWCOMERS_S) * 1e6)
         self.scheduler.at(shut_us, partial(self._shut, proxy))
         back_s = self.front.between(*realm.scenario.proxies.restart_s)
         if not await there.stopped(KILL_S):
-            realm.log(What.NOTE, there.name, detail="did not stop in time after SIGTERM")
+            realm.log(EventKind.NOTE, there.name, detail="did not stop in time after SIGTERM")
         await asyncio.sleep(0.05)  # what it sent last may still be on its way to the clients
         self._down.add(proxy)
-        realm.log(What.PROXY, there.name, detail="stopped")
+        realm.log(EventKind.PROXY, there.name, detail="stopped")
         await asyncio.sleep(back_s)
         await self._start_again(proxy)
 
@@ -313,16 +325,16 @@
         there.start()
         self._down.discard(proxy)
         if await there.ready():
-            self.realm.log(What.PROXY, there.name, detail="up")
+            self.realm.log(EventKind.PROXY, there.name, detail="up")
             self.admitted[proxy] = True
         else:
-            self.realm.log(What.NOTE, there.name, detail="did not come up again")
+            self.realm.log(EventKind.NOTE, there.name, detail="did not come up again")
 
     def kill_proxy(self, proxy: int, back_us: int) -> None:
         if not self.runs(proxy):
             return
         self._down.add(proxy)
-        self.realm.log(What.PROXY, self.realm.proxies[proxy], detail="killed")
+        self.realm.log(EventKind.PROXY, self.realm.proxies[proxy], detail="killed")
         self.proxies[proxy].kill()
         notice_us = int(self.front.between(*self.realm.scenario.proxies.notice_s) * 1e6)
         self.scheduler.at(self.scheduler.now_us() + notice_us, partial(self._notice, proxy))
@@ -335,12 +347,12 @@
     def freeze_proxy(self, proxy: int, for_us: int) -> None:
         if not self.runs(proxy):
             return
-        self.realm.log(What.PROXY, self.realm.proxies[proxy], detail="frozen")
+        self.realm.log(EventKind.PROXY, self.realm.proxies[proxy], detail="frozen")
         self.proxies[proxy].signal(signal.SIGSTOP)
         self.scheduler.at(self.scheduler.now_us() + for_us, partial(self._thaw, proxy))
 
     def _thaw(self, proxy: int) -> None:
-        self.realm.log(What.PROXY, self.realm.proxies[proxy], detail="thawed")
+        self.realm.log(EventKind.PROXY, self.realm.proxies[proxy], detail="thawed")
         self.proxies[proxy].signal(signal.SIGCONT)
 
 
--- a/stoatgw/emulator/loopback/upkeep.py
+++ b/stoatgw/emulator/loopback/maintenance_run.py
@@ -25,13 +25,13 @@
 import msgspec
 
 from stoatgw.config.deployment import Address
-from stoatgw.config.maintenance import PROXY, Plan
-from stoatgw.config.membership import Membership
-from stoatgw.config.sharing import Sharing
-from stoatgw.maintenance.keys import Keys, Look, read_look
-from stoatgw.maintenance.ledger import Ledger, State, decode
-from stoatgw.membership import words
-from stoatgw.membership.engine import Engine, Fault
+from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
+from stoatgw.maintenance.keys import MaintenanceKeys, StoreSnapshot, read_store_snapshot
+from stoatgw.maintenance.rollout_state import RolloutState, StepState, decode
+from stoatgw.membership import etcd_api
+from stoatgw.membership.client import CallFailure, CoordinationClient
 
 ROOT = Path(__file__).resolve().parent.parent.parent.parent
 ZONES = ("a", "b")
@@ -59,7 +59,7 @@
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, 0))
 
 
-class Child:
+class ChildProcess:
     """A process started here, its JSON lines kept."""
 
     def __init__(self, arguments: list[str], told: dict[str, str], *, full_disk: bool = False) -> None:
@@ -71,10 +71,14 @@
     async def start(self) -> None:
         kept = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))}
         self._process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", *self._arguments, cwd=ROOT, stdout=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            *self._arguments,
+            cwd=ROOT,
+            stdout=asyncio.subprocess.PIPE,
             env=kept | {"PYTHONDONTWRITEBYTECODE": "1"} | self._told,
             preexec_fn=_full_disk if self._full_disk else None,
-        )  # fmt: skip
+        )
         assert self._process.stdout is not None
         ready = asyncio.Event()
         self._reads = asyncio.create_task(self._read(self._process.stdout, ready))
@@ -206,15 +210,24 @@
 
     def _page(self) -> dict[str, Any]:
         rows = [
-            {"instanceId": each.name, "hostPort": f"{each.host}:{each.port}", "zone": each.zone, "machineType": "m1",
-             "cell": 0, "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": each.start_ms}
-            for each in self._servers if each.up
-        ]  # fmt: skip
+            {
+                "instanceId": each.name,
+                "hostPort": f"{each.host}:{each.port}",
+                "zone": each.zone,
+                "machineType": "m1",
+                "cell": 0,
+                "lifecycle": "SERVING",
+                "weight": 1.0,
+                "startedAtMs": each.start_ms,
+            }
+            for each in self._servers
+            if each.up
+        ]
         return {"generation": self._version, "reset": True, "instances": rows}
 
 
 @dataclass
-class Tally:
+class ClientTally:
     """What clients were told. `lost`: ended with no answer by a proxy that nobody killed."""
 
     answers: Counter[str] = field(default_factory=Counter)
@@ -223,27 +236,37 @@
     cut: int = 0
 
 
-class Upkeep:
+class MaintenanceRun:
     """All of it together. `play` runs until the ledger says finished."""
 
     def __init__(
-        self, folder: Path, plan: Plan, *, proxies: int = 3, servers: int = 6, clients: int = 12, work_s: float = 0.2,
-        full_disks: tuple[int, ...] = (), sharing: Sharing | None = None,
-    ) -> None:  # fmt: skip
+        self,
+        folder: Path,
+        plan: MaintenancePlan,
+        *,
+        proxies: int = 3,
+        servers: int = 6,
+        clients: int = 12,
+        work_s: float = 0.2,
+        full_disks: tuple[int, ...] = (),
+        sharing: SharedHealthChecksConfig | None = None,
+    ) -> None:
         self.folder, self.plan, self._sharing = folder, plan, sharing
         self.host = own_host()
         self.servers = [SessionServer(self.host, f"s-{place}", ZONES[place % len(ZONES)]) for place in range(servers)]
         self.discovery = Discovery(self.host, self.servers)
         self.engine_port = free_port(self.host)
         self.links = [Link(self.host, self.engine_port) for _ in range(proxies)]
-        self.membership = Membership(engine=(f"{self.host}:{self.engine_port}",), lease_s=2, look_ms=100, call_ms=250)
-        self.keys = Keys(self.membership.scope, plan.name)
-        self._engine = Engine([Address(self.host, self.engine_port)], 1.0)
+        self.membership = MembershipConfig(
+            engine=(f"{self.host}:{self.engine_port}",), lease_s=2, look_ms=100, call_ms=250
+        )
+        self.keys = MaintenanceKeys(self.membership.scope, plan.name)
+        self._engine = CoordinationClient([Address(self.host, self.engine_port)], 1.0)
         self.history = folder / "history"
         self.engine = self._make_engine()
         self.ports = [free_port(self.host) for _ in range(proxies)]
         self.proxies = [self._make_proxy(place, place in full_disks) for place in range(proxies)]
-        self.tally, self._clients, self._work_s = Tally(), clients, work_s
+        self.tally, self._clients, self._work_s = ClientTally(), clients, work_s
         self.killed: set[int] = set()
         self.worked: Counter[str] = Counter()
         self.most_worked, self._working = 0, 0
@@ -267,12 +290,18 @@
         self.killed.add(place)
         await self.proxies[place].end(signal.SIGKILL)
 
-    def _make_engine(self, *, full_disk: bool = False) -> Child:
-        told = ["--listen", f"{self.host}:{self.engine_port}", "--data", str(self.folder / "engine"),
-                "--history", str(self.history)]  # fmt: skip
-        return Child(["stoatgw.emulator.engine.server", *told], {}, full_disk=full_disk)
-
-    def _make_proxy(self, place: int, full_disk: bool) -> Child:
+    def _make_engine(self, *, full_disk: bool = False) -> ChildProcess:
+        told = [
+            "--listen",
+            f"{self.host}:{self.engine_port}",
+            "--data",
+            str(self.folder / "engine"),
+            "--history",
+            str(self.history),
+        ]
+        return ChildProcess(["stoatgw.emulator.engine.server", *told], {}, full_disk=full_disk)
+
+    def _make_proxy(self, place: int, full_disk: bool) -> ChildProcess:
         tmp = self.folder / f"tmp-{place}"
         tmp.mkdir()
         own = self.folder / f"own-{place}.toml"
@@ -282,23 +311,45 @@
             told["sharing"] = msgspec.to_builtins(self._sharing)
         own.write_bytes(msgspec.toml.encode(told))
         config = self.folder / f"n{place}.json"
-        config.write_text(json.dumps({
-            "name": f"n{place}", "listen": f"{self.host}:{self.ports[place]}",
-            "discovery": f"{self.host}:{self.discovery.port}", "seed": f"{place + 1:x}",
-            "settings": {
-                "balancers": len(self.ports), "rank": place, "areas": list(ZONES), "kinds": ["m1"],
-                "bounds": {"max_attempts": 3, "probes": True}, "discovery": "subscribe",
-                "profiles": [{"name": "chat", "deadline_us": 2_000_000, "on_time_us": 500_000,
-                              "idempotency": "retryable"}],
-                "report": {"via": "on_probe", "columns": ["outstanding", "x0"]},
-                "rules": {"drain_grace_us": GRACE_US, "cold_from": 0.5, "cold_us": 500_000, "fall_multiple": 3.0,
-                          "fall_us": 1_000_000},
-            },
-        }))  # fmt: skip
-        return Child(["stoatgw"], {"LB_CONFIG": str(config), "STOATGW_CONFIG": str(own), "TMPDIR": str(tmp)},
-                     full_disk=full_disk)  # fmt: skip
-
-    async def __aenter__(self) -> Upkeep:
+        config.write_text(
+            json.dumps(
+                {
+                    "name": f"n{place}",
+                    "listen": f"{self.host}:{self.ports[place]}",
+                    "discovery": f"{self.host}:{self.discovery.port}",
+                    "seed": f"{place + 1:x}",
+                    "settings": {
+                        "balancers": len(self.ports),
+                        "rank": place,
+                        "areas": list(ZONES),
+                        "kinds": ["m1"],
+                        "bounds": {"max_attempts": 3, "probes": True},
+                        "discovery": "subscribe",
+                        "profiles": [
+                            {
+                                "name": "chat",
+                                "deadline_us": 2_000_000,
+                                "on_time_us": 500_000,
+                                "idempotency": "retryable",
+                            }
+                        ],
+                        "report": {"via": "on_probe", "columns": ["outstanding", "x0"]},
+                        "rules": {
+                            "drain_grace_us": GRACE_US,
+                            "cold_from": 0.5,
+                            "cold_us": 500_000,
+                            "fall_multiple": 3.0,
+                            "fall_us": 1_000_000,
+                        },
+                    },
+                }
+            )
+        )
+        return ChildProcess(
+            ["stoatgw"], {"LB_CONFIG": str(config), "STOATGW_CONFIG": str(own), "TMPDIR": str(tmp)}, full_disk=full_disk
+        )
+
+    async def __aenter__(self) -> MaintenanceRun:
         for server in self.servers:
             await server.start()
         self._closing = [await self.discovery.start(), *[await link.start() for link in self.links]]
@@ -329,28 +380,28 @@
 
     # What the engine holds, read past the links.
 
-    async def look(self) -> Look | None:
-        found = await self._engine.call(words.RANGE, words.under(self.keys.prefix))
-        return None if isinstance(found, Fault) else read_look(self.keys, words.read_range(found))
+    async def look(self) -> StoreSnapshot | None:
+        found = await self._engine.call(etcd_api.RANGE, etcd_api.under(self.keys.prefix))
+        return None if isinstance(found, CallFailure) else read_store_snapshot(self.keys, etcd_api.read_range(found))
 
-    async def until(self, met: Callable[[Look], bool]) -> Look:
+    async def until(self, met: Callable[[StoreSnapshot], bool]) -> StoreSnapshot:
         while True:
             look = await self.look()
             if look is not None and met(look):
                 return look
             await asyncio.sleep(0.03)
 
-    async def finished(self) -> Ledger:
+    async def finished(self) -> RolloutState:
         look = await self.until(lambda look: look.ledger is not None and look.ledger.finished)
         self.ended_s = time.monotonic()
         assert look.ledger is not None
         return look.ledger
 
-    def leader(self, look: Look) -> int:
+    def leader(self, look: StoreSnapshot) -> int:
         """The place of the proxy that holds the duty, or -1."""
         return int(look.holder[1 : look.holder.index("-")]) if look.holder else -1
 
-    def ledgers(self) -> list[Ledger]:
+    def ledgers(self) -> list[RolloutState]:
         """Every ledger that the engine has ever held, in order."""
         rows = [json.loads(line) for line in self.history.read_bytes().splitlines()]
         return [decode(value.encode()) for _, key, value in rows if key == self.keys.ledger]
@@ -363,7 +414,7 @@
         while True:
             look = await self.look()
             for name, step in look.ledger.steps.items() if look is not None and look.ledger is not None else ():
-                if step.state is State.OUT and step.empty and name not in begun:
+                if step.state is StepState.OUT and step.empty and name not in begun:
                     begun.add(name)
                     self.spawn(self._work(name))
             await asyncio.sleep(0.05)
--- a/stoatgw/emulator/loopback/processes.py
+++ b/stoatgw/emulator/loopback/processes.py
@@ -42,14 +42,24 @@
         path = self._folder / f"{self.name}-{self._starts}.log"
         self.logs.append(path)
         self._log = path.open("wb")
-        environment = {
-            name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))
-        } | {"LB_CONFIG": str(self._config), "LB_NAME": self.name, "PYTHONDONTWRITEBYTECODE": "1",
-             "PYTHONPATH": str(ROOT)} | self._operators  # fmt: skip
+        environment = (
+            {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))}
+            | {
+                "LB_CONFIG": str(self._config),
+                "LB_NAME": self.name,
+                "PYTHONDONTWRITEBYTECODE": "1",
+                "PYTHONPATH": str(ROOT),
+            }
+            | self._operators
+        )
         self._process = subprocess.Popen(
-            [sys.executable, "-m", "stoatgw"], env=environment, stdout=self._log, stderr=subprocess.STDOUT,
-            stdin=subprocess.DEVNULL, cwd=ROOT,
-        )  # fmt: skip
+            [sys.executable, "-m", "stoatgw"],
+            env=environment,
+            stdout=self._log,
+            stderr=subprocess.STDOUT,
+            stdin=subprocess.DEVNULL,
+            cwd=ROOT,
+        )
         with contextlib.suppress(OSError):
             os.sched_setaffinity(self._process.pid, self._cores)
 
--- a/stoatgw/emulator/loopback/servers.py
+++ b/stoatgw/emulator/loopback/servers.py
@@ -9,9 +9,9 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from stoatgw.emulator.events import What
 from stoatgw.emulator.loopback import wire
-from stoatgw.emulator.machine import Held, Life, Machine
+from stoatgw.emulator.world.events import EventKind
+from stoatgw.emulator.world.server_model import Held, ServerLifecycle, ServerModel
 
 if TYPE_CHECKING:
     from stoatgw.emulator.loopback.driver import LoopbackWorld
@@ -37,7 +37,9 @@
         if self.out:
             self.out = False
             world = self.server.world
-            world.realm.log(What.ENDED, world.realm.proxies[self.proxy], self.req, self.server.name, self.attempt, how)
+            world.realm.log(
+                EventKind.ENDED, world.realm.proxies[self.proxy], self.req, self.server.name, self.attempt, how
+            )
 
     def end(self, how: str, line: bytes = b"", *, reset: bool = False) -> None:
         """The server ends the connection."""
@@ -52,7 +54,7 @@
 
 
 class Server:
-    def __init__(self, world: LoopbackWorld, machine: Machine, number: int) -> None:
+    def __init__(self, world: LoopbackWorld, machine: ServerModel, number: int) -> None:
         self.world, self.machine, self.number = world, machine, number
         self.name = machine.draw.name
         self._listeners: dict[int, tuple[socket.socket, asyncio.Task[None]]] = {}
@@ -191,8 +193,8 @@
         link.attempt, link.out = visit.next_attempt(), True
         name = world.realm.proxies[link.proxy]
         units = machine.expected_units(visit.group)
-        world.realm.log(What.SENT, name, link.req, self.name, link.attempt)
-        world.realm.log(What.RAN, name, link.req, self.name, link.attempt, f"{units:g}")
+        world.realm.log(EventKind.SENT, name, link.req, self.name, link.attempt)
+        world.realm.log(EventKind.RAN, name, link.req, self.name, link.attempt, f"{units:g}")
         world.note_out(link)
         cut_us = now_us + int(fields.get(b"d", b"0")) * 1000
         answer = machine.opened(now_us, units, visit.group, cut_us)
@@ -205,12 +207,16 @@
         machine = self.machine
         if machine.started_us == started_us and machine.setting_up > 0:
             machine.set_up()
-        if link.lines.closed or link not in self.links or machine.life in (Life.GONE, Life.VANISHED):
+        if (
+            link.lines.closed
+            or link not in self.links
+            or machine.life in (ServerLifecycle.GONE, ServerLifecycle.VANISHED)
+        ):
             return
         if link.lines.ended():  # its proxy waits no more
             link.over("given up")
             return
-        if how == "busy" or machine.life is not Life.SERVING:
+        if how == "busy" or machine.life is not ServerLifecycle.SERVING:
             link.end("busy", b"BUSY\r\n")
             return
         link.over("up")
--- a/stoatgw/emulator/virtual.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -12,31 +12,31 @@
 
 import numpy as np
 
-from stoatgw.backends.backend import Backends
+from stoatgw.backends.backend import BackendRegistry
+from stoatgw.clock import Clock
 from stoatgw.config.settings import flatten, read_settings
+from stoatgw.controller.controller import Controller, DecisionPolicy
+from stoatgw.controller.graceful_shutdown import plan_shutdown
+from stoatgw.controller.messages import EndpointsUpdated, HealthCheckCompleted, SessionMetricObserved, SessionRestored
 from stoatgw.decisions.balancer import Balancer
 from stoatgw.decisions.interface import (
+    AttemptStatus,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Lifecycle,
-    ListKind,
-    ListUpdate,
-    NoteKind,
-    ServerEntry,
+    SessionMetricKind,
     Settings,
-    Status,
 )
-from stoatgw.emulator import troubles
-from stoatgw.emulator.crowd import Crowd
-from stoatgw.emulator.doors import Session
-from stoatgw.emulator.events import EventSink, What
-from stoatgw.emulator.kernel import Kernel, ProcessLoop
-from stoatgw.emulator.machine import Held, Life, Machine
-from stoatgw.emulator.realm import Realm, Told, Uniforms
-from stoatgw.emulator.scenario import Scenario
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import Heard, Listed, Probed, Stood
-from stoatgw.owner.owner import Module, Owner
-from stoatgw.owner.stopping import stopping
-from stoatgw.rebalance.mover import Rebalancer
+from stoatgw.emulator.virtual.kernel import Kernel, ProcessLoop
+from stoatgw.emulator.virtual.session_model import Session
+from stoatgw.emulator.world import faults
+from stoatgw.emulator.world.client_population import ClientPopulation
+from stoatgw.emulator.world.events import EventKind, EventSink
+from stoatgw.emulator.world.scenario import Scenario
+from stoatgw.emulator.world.server_model import Held, ServerLifecycle, ServerModel
+from stoatgw.emulator.world.world_state import EndpointEntry, Uniforms, WorldState
+from stoatgw.rebalance.rebalancer import Rebalancer
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
@@ -45,17 +45,17 @@
 WATCH_US = 1_000_000  # delays are told once in so long, as the listener does
 DELAY_PART = 3
 PROBE_LIMIT_US = 500_000
-STATES = {"SERVING": Lifecycle.ON, "DRAINING": Lifecycle.FADING, "DELETED": Lifecycle.OFF}
+STATES = {"SERVING": Lifecycle.ACTIVE, "DRAINING": Lifecycle.DRAINING, "DELETED": Lifecycle.REMOVED}
 NEWCOMERS_US = (200_000, 400_000)  # after SIGTERM the front still sends newcomers for so long
 DRAIN_LOOK_US = 20_000
 WATCH_AGAIN_US = 100_000  # a proxy that lost its watch has it again so soon
 ADMIT_US = 100_000  # the front finds a proxy ready so long after its start
 
-Make = Callable[[Settings, int], Module]
-Policy = Callable[[Realm], Make]
+Make = Callable[[Settings, int], DecisionPolicy]
+Policy = Callable[[WorldState], Make]
 
 
-def module(_: Realm) -> Make:
+def module(_: WorldState) -> Make:
     """The project's own module, as in service."""
     return Balancer
 
@@ -71,13 +71,13 @@
 class SilentLog(EventLog):
     """Faults of the program go into the run's log; all else is dropped."""
 
-    def __init__(self, name: str, realm: Realm) -> None:
+    def __init__(self, name: str, realm: WorldState) -> None:
         super().__init__(name)
         self._node, self._realm = name, realm
 
     def event(self, event: str, **fields: object) -> None:
         if event in ("decision_fault", "recovery_failed"):
-            self._realm.log(What.NOTE, self._node, detail=f"{event}: {str(fields.get('error'))[:200]}")
+            self._realm.log(EventKind.NOTE, self._node, detail=f"{event}: {str(fields.get('error'))[:200]}")
 
 
 @dataclass(eq=False)
@@ -88,8 +88,8 @@
     name: str
     zone: int
     loop: ProcessLoop
-    owner: Owner
-    backends: Backends
+    owner: Controller
+    backends: BackendRegistry
     settings: Settings
     draws: Uniforms
     counters: Counters
@@ -102,7 +102,7 @@
     late: set[str] = field(default_factory=set)
 
 
-class World(Crowd[Session]):
+class World(ClientPopulation[Session]):
     """One virtual run: `World(...).run()` plays it; what it shows is in `realm` and the figures here."""
 
     def __init__(
@@ -111,7 +111,7 @@
         ties = None if shuffle is None else np.random.default_rng(shuffle)
         self.kernel = Kernel(START_US, ties)
         self.clock = VirtualClock(self.kernel)
-        self.realm = Realm(scenario, seed, self.kernel, sink)
+        self.realm = WorldState(scenario, seed, self.kernel, sink)
         self._make = policy(self.realm)
         self._starts = [0] * len(self.realm.proxies)
         self.proxies: list[Proxy] = []
@@ -126,7 +126,7 @@
         for index in range(len(realm.proxies)):
             self.proxies.append(self._start_proxy(index))
         self._stand_all()
-        troubles.schedule(realm)
+        faults.schedule(realm)
         self.schedule_arrivals()
         kernel.run(realm.end_us)
         for machine in realm.machines.values():
@@ -134,10 +134,10 @@
         kernel.run(realm.end_us + AFTER_US)
         for proxy in self.proxies:
             if not proxy.ended:
-                held = max(0, proxy.owner.open - sum(session.known for session in proxy.sessions.values()))
-                realm.log(What.HELD, proxy.name, number=held)
+                held = max(0, proxy.owner.open_requests - sum(session.known for session in proxy.sessions.values()))
+                realm.log(EventKind.HELD, proxy.name, number=held)
                 for fault in proxy.loop.faults:
-                    realm.log(What.NOTE, proxy.name, detail=str(fault.get("exception", fault))[:200])
+                    realm.log(EventKind.NOTE, proxy.name, detail=str(fault.get("exception", fault))[:200])
 
     def _start_proxy(self, index: int) -> Proxy:
         realm, name = self.realm, self.realm.proxies[index]
@@ -147,12 +147,12 @@
         seed = realm.streams.number(f"module {index}", starts)
         limits = realm.scenario.operators.rebalance
         mover = Rebalancer(limits, settings, seed) if limits.enabled else None
-        owner = Owner(settings, seed, self.clock, SilentLog(name, realm), counters, self._make, mover)
+        owner = Controller(settings, seed, self.clock, SilentLog(name, realm), counters, self._make, mover)
         draws = Uniforms(realm.streams.of(f"proxy {index}", starts))
-        proxy = Proxy(index, name, realm.proxy_zone(index), loop, owner, Backends(), settings, draws, counters)
-        realm.log(What.PROXY, name, detail="up")
+        proxy = Proxy(index, name, realm.proxy_zone(index), loop, owner, BackendRegistry(), settings, draws, counters)
+        realm.log(EventKind.PROXY, name, detail="up")
         known = list(realm.known[index].values())
-        loop.deliver(lambda: owner.start(Backstage(self, proxy)))
+        loop.deliver(lambda: owner.start(VirtualGateway(self, proxy)))
         self._told(proxy, known, whole=True)
         loop.deliver(partial(self._begin_owner, proxy))
         if proxy.settings.profiles and self.realm.scenario.module.tells_delay:
@@ -172,7 +172,7 @@
             session = Session(self, proxy, client, client.next_id(), self.kernel.now_us())
             self.stands(session)
             session.stand_from_start(self.realm.machines[server])
-            proxy.loop.deliver(partial(proxy.owner.put, Stood(session.req, server)))
+            proxy.loop.deliver(partial(proxy.owner.post, SessionRestored(session.req, server)))
 
     # Clients, as the crowd asks for them.
 
@@ -189,7 +189,7 @@
 
     def client_leaves(self, session: Session) -> None:
         if not session.answered:
-            self.realm.log(What.GONE, session.proxy.name, session.name)
+            self.realm.log(EventKind.GONE, session.proxy.name, session.name)
         way_us = self.realm.client_way_us
         self.kernel.at(self.kernel.now_us() + way_us, partial(session.proxy.loop.deliver, session.client_left))
 
@@ -201,29 +201,29 @@
     def sessions_at(self, server: str) -> list[Session]:
         return [session for proxy in self.proxies for session in proxy.standing.get(server, {}).values()]
 
-    def sent_away(self, machine: Machine) -> None:
+    def sent_away(self, machine: ServerModel) -> None:
         for session in self.sessions_at(machine.draw.name):
-            session.server_ends("MOVE", Status.REVOKED)
+            session.server_ends("MOVE", AttemptStatus.REVOKED)
 
-    def died(self, machine: Machine) -> None:
+    def died(self, machine: ServerModel) -> None:
         for proxy in self.proxies:
             for session in list(proxy.sessions.values()):
                 if session.machine is machine:
-                    session.server_ends("reset", Status.DROPPED)
+                    session.server_ends("reset", AttemptStatus.DROPPED)
 
-    def grew(self, machine: Machine) -> None:
+    def grew(self, machine: ServerModel) -> None:
         pass  # whoever is told of it reaches it
 
-    def dropped(self, machine: Machine, connections: list[Held]) -> None:
+    def dropped(self, machine: ServerModel, connections: list[Held]) -> None:
         for held in connections:
             if held.on_drop is not None:
                 held.on_drop()
 
-    def vanished(self, machine: Machine) -> None:
+    def vanished(self, machine: ServerModel) -> None:
         for proxy in self.proxies:
             self._silent(proxy, machine)
 
-    def _silent(self, proxy: Proxy, machine: Machine) -> None:
+    def _silent(self, proxy: Proxy, machine: ServerModel) -> None:
         for session in proxy.standing.get(machine.draw.name, {}).values():
             session.unheard()
 
@@ -237,7 +237,7 @@
                     if cut:
                         self._silent(proxy, machine)
 
-    def tell(self, proxy: int, rows: list[Told], whole: bool) -> None:
+    def tell(self, proxy: int, rows: list[EndpointEntry], whole: bool) -> None:
         there = self.proxies[proxy]
         if not there.ended:
             there.loop.deliver(lambda: self._told(there, rows, whole))
@@ -246,15 +246,15 @@
         """What cannot be read changes nothing; the watch begins anew, with the whole list."""
         self.kernel.at(self.kernel.now_us() + WATCH_AGAIN_US, partial(self.realm.tell_whole, proxy))
 
-    def _told(self, proxy: Proxy, rows: list[Told], whole: bool) -> None:
+    def _told(self, proxy: Proxy, rows: list[EndpointEntry], whole: bool) -> None:
         entries = _entries(rows)
         for row in rows:
             started_us = row.started_us - self.realm.start_us if row.started_us else 0
-            self.realm.log(What.TOLD, proxy.name, server=row.server, number=started_us, detail=row.lifecycle)
-        listed = [(entry, entry.server, 0) for entry in entries]
-        proxy.backends.listed(listed, whole, self.kernel.now_us())
-        kind = ListKind.SNAPSHOT if whole else ListKind.DIFF
-        proxy.owner.put(Listed(ListUpdate(kind, 0, entries)))
+            self.realm.log(EventKind.TOLD, proxy.name, server=row.server, number=started_us, detail=row.lifecycle)
+        listed = [(entry, entry.name, 0) for entry in entries]
+        proxy.backends.update(listed, whole, self.kernel.now_us())
+        kind = EndpointUpdateKind.SNAPSHOT if whole else EndpointUpdateKind.DELTA
+        proxy.owner.post(EndpointsUpdated(EndpointUpdate(kind, 0, entries)))
 
     # Proxies, as the realm tells of them.
 
@@ -263,12 +263,12 @@
         there, now_us, realm = self.proxies[proxy], self.kernel.now_us(), self.realm
         if there.ended:
             return
-        realm.log(What.PROXY, there.name, detail="draining")
+        realm.log(EventKind.PROXY, there.name, detail="draining")
         there.draining = True
-        end = stopping(there.settings, handed_over=False)
-        there.loop.deliver(partial(there.owner.put, end.drain))
+        end = plan_shutdown(there.settings, handed_over=False)
+        there.loop.deliver(partial(there.owner.post, end.drain))
         self.kernel.at(now_us + int(self.front.between(*NEWCOMERS_US)), partial(self._shut, proxy))
-        self.kernel.at(now_us + end.least_us, partial(self._look_for_end, there, now_us + end.most_us))
+        self.kernel.at(now_us + end.min_duration_us, partial(self._look_for_end, there, now_us + end.max_duration_us))
 
     def _shut(self, proxy: int) -> None:
         self.admitted[proxy] = False
@@ -301,7 +301,7 @@
         proxy.loop.kill()
         for session in list(proxy.sessions.values()):
             session.proxy_died(how)
-        self.realm.log(What.PROXY, proxy.name, detail=how)
+        self.realm.log(EventKind.PROXY, proxy.name, detail=how)
         self.kernel.at(self.kernel.now_us() + back_us, partial(self._restart, proxy.index))
 
     def _restart(self, proxy: int) -> None:
@@ -315,14 +315,14 @@
         there = self.proxies[proxy]
         if there.ended or there.loop.frozen:
             return
-        self.realm.log(What.PROXY, there.name, detail="frozen")
+        self.realm.log(EventKind.PROXY, there.name, detail="frozen")
         there.loop.freeze()
         self._live(there, False)
         self.kernel.at(self.kernel.now_us() + for_us, partial(self._thaw, there))
 
     def _thaw(self, proxy: Proxy) -> None:
         if not proxy.ended:
-            self.realm.log(What.PROXY, proxy.name, detail="thawed")
+            self.realm.log(EventKind.PROXY, proxy.name, detail="thawed")
             proxy.loop.thaw()
             self._live(proxy, True)
 
@@ -347,7 +347,7 @@
         every_s, late = self.realm.scenario.clients.line_every_s, set()
         for server, session in self._each_server(proxy):
             machine = self.realm.machines[server]
-            if machine.life is not Life.SERVING or self.realm.apart(proxy.zone, machine):
+            if machine.life is not ServerLifecycle.SERVING or self.realm.apart(proxy.zone, machine):
                 continue
             # Some line was answered within the last second, unless all their clients were quiet.
             quiet = max(0.0, 1.0 - 1.0 / every_s) ** len(proxy.standing[server])
@@ -358,7 +358,7 @@
             if delay_ms > tell_ms:
                 late.add(server)
             if delay_ms > tell_ms or server in proxy.late:
-                proxy.owner.put(Heard(session.req, NoteKind.DELAY, delay_ms))
+                proxy.owner.post(SessionMetricObserved(session.req, SessionMetricKind.DELAY, delay_ms))
         proxy.late = late
 
     def _each_server(self, proxy: Proxy) -> Iterator[tuple[str, Session]]:
@@ -368,19 +368,19 @@
                 break
 
 
-def _entries(rows: Iterable[Told]) -> tuple[ServerEntry, ...]:
+def _entries(rows: Iterable[EndpointEntry]) -> tuple[Endpoint, ...]:
     return tuple(
-        ServerEntry(row.server, STATES[row.lifecycle], row.zone, 0, row.kind, 1.0, row.started_us) for row in rows
+        Endpoint(row.server, STATES[row.lifecycle], row.zone, 0, row.machine_kind, 1.0, row.started_us) for row in rows
     )
 
 
-class Backstage:
+class VirtualGateway:
     """The fleet as one proxy's owner sees it."""
 
     def __init__(self, world: World, proxy: Proxy) -> None:
         self._world, self._proxy = world, proxy
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         world, proxy, realm = self._world, self._proxy, self._world.realm
         backend, machine = proxy.backends.get(server), realm.machines.get(server)
         if backend is None or machine is None or server in proxy.probing:
@@ -390,43 +390,42 @@
         now_us, kernel = world.kernel.now_us(), world.kernel
         way_us = world.realm.way_us(proxy.zone, machine)
         if realm.apart(proxy.zone, machine):
-            self._end(machine, Status.DIAL_FAILED, now_us, now_us + PROBE_LIMIT_US // 2)
-        elif machine.life is Life.GONE:
-            self._end(machine, Status.DIAL_FAILED, now_us, now_us + 2 * way_us)
+            self._end(machine, AttemptStatus.DIAL_FAILED, now_us, now_us + PROBE_LIMIT_US // 2)
+        elif machine.life is ServerLifecycle.GONE:
+            self._end(machine, AttemptStatus.DIAL_FAILED, now_us, now_us + 2 * way_us)
         else:
             kernel.at(now_us + way_us, partial(self._at_server, machine, now_us, way_us))
 
-    def _at_server(self, machine: Machine, asked_us: int, way_us: int) -> None:
+    def _at_server(self, machine: ServerModel, asked_us: int, way_us: int) -> None:
         now_us = self._world.kernel.now_us()
-        if machine.life is Life.GONE or self._world.realm.apart(self._proxy.zone, machine):
-            self._end(machine, Status.DROPPED, asked_us, now_us + way_us)
+        if machine.life is ServerLifecycle.GONE or self._world.realm.apart(self._proxy.zone, machine):
+            self._end(machine, AttemptStatus.DROPPED, asked_us, now_us + way_us)
             return
         answer_us = machine.probed(now_us) + way_us
         if answer_us - asked_us > PROBE_LIMIT_US:
-            self._end(machine, Status.EXPIRED, asked_us, asked_us + PROBE_LIMIT_US)
+            self._end(machine, AttemptStatus.EXPIRED, asked_us, asked_us + PROBE_LIMIT_US)
             return
         fields = machine.report
         names = {"errors_per_s": "eps", "outstanding": "inflight", "utilization": "util", "x0": "x0"}
         row = tuple(fields.get(names[column]) for column in self._proxy.settings.report_columns)
-        self._end(machine, Status.DELIVERED, asked_us, answer_us, row)
+        self._end(machine, AttemptStatus.DELIVERED, asked_us, answer_us, row)
 
     def _end(
-        self, machine: Machine, status: Status, asked_us: int, at_us: int, row: tuple[float | None, ...] = ()
+        self, machine: ServerModel, status: AttemptStatus, asked_us: int, at_us: int, row: tuple[float | None, ...] = ()
     ) -> None:
         proxy = self._proxy
 
         def told() -> None:
             proxy.probing.discard(machine.draw.name)
-            proxy.owner.put(Probed(machine.draw.name, status, at_us - asked_us, row))
+            proxy.owner.post(HealthCheckCompleted(machine.draw.name, status, at_us - asked_us, row))
 
         self._world.kernel.at(at_us, partial(proxy.loop.deliver, told))
 
     def close_idle(self, server: str) -> None:
         pass  # kept probe connections are not modelled
 
-    def fetch_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         proxy, realm = self._proxy, self._world.realm
         rows = realm.known[proxy.index].values()
         entries = _entries(rows)
-        proxy.owner.put(Listed(ListUpdate(ListKind.SNAPSHOT, 0, entries)))
-
+        proxy.owner.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 0, entries)))
--- a/stoatgw/emulator/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -9,11 +9,11 @@
 import random
 from collections.abc import Callable
 
+from stoatgw.controller.controller import DecisionPolicy
 from stoatgw.decisions import interface as api
-from stoatgw.decisions.interface import Lifecycle, ListKind, Status
-from stoatgw.emulator.machine import Life, Machine
-from stoatgw.emulator.realm import Realm
-from stoatgw.owner.owner import Module
+from stoatgw.decisions.interface import AttemptStatus, EndpointUpdateKind, Lifecycle
+from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
+from stoatgw.emulator.world.world_state import WorldState
 
 TRIES = 2
 ADVICE_US = 1_000_000
@@ -28,9 +28,9 @@
 class _Placing:
     """What both have in common: the list, attempts, and answers."""
 
-    def __init__(self, realm: Realm, settings: api.Settings, seed: int) -> None:
+    def __init__(self, realm: WorldState, settings: api.Settings, seed: int) -> None:
         self._realm, self._settings, self._random = realm, settings, random.Random(seed)
-        self._ready: dict[str, api.ServerEntry] = {}
+        self._ready: dict[str, api.Endpoint] = {}
         self._asked: dict[str, tuple[api.Request, list[str], int]] = {}
         self._standing: set[str] = set()
 
@@ -39,29 +39,29 @@
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
         match event:
-            case api.ListUpdate():
-                if event.kind in (ListKind.SNAPSHOT, ListKind.DISK):
+            case api.EndpointUpdate():
+                if event.kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
                     self._ready.clear()
-                for entry in event.entries:
-                    self._ready.pop(entry.server, None)
-                    if entry.lifecycle is Lifecycle.ON:
-                        self._ready[entry.server] = entry
+                for entry in event.endpoints:
+                    self._ready.pop(entry.name, None)
+                    if entry.lifecycle is Lifecycle.ACTIVE:
+                        self._ready[entry.name] = entry
             case api.Request():
-                self._asked[event.request] = (event, [], now_us + event.patience_left_us)
-                return self._place(event.request, now_us)
-            case api.Begun():
-                self._standing.add(event.request)
-            case api.Existing():
-                self._standing.add(event.request.request)
-            case api.ClientGone():
-                self._asked.pop(event.request, None)
-            case api.Outcome():
-                stood = event.request in self._standing
-                self._standing.discard(event.request)
-                if stood or event.final or event.status is Status.UNUSED:
-                    self._asked.pop(event.request, None)
-                elif event.request in self._asked:
-                    return self._place(event.request, now_us)
+                self._asked[event.request_id] = (event, [], now_us + event.time_left_us)
+                return self._place(event.request_id, now_us)
+            case api.AttemptEstablished():
+                self._standing.add(event.request_id)
+            case api.SessionRestored():
+                self._standing.add(event.request.request_id)
+            case api.ClientDisconnected():
+                self._asked.pop(event.request_id, None)
+            case api.AttemptOutcome():
+                stood = event.request_id in self._standing
+                self._standing.discard(event.request_id)
+                if stood or event.is_final or event.status is AttemptStatus.UNUSED:
+                    self._asked.pop(event.request_id, None)
+                elif event.request_id in self._asked:
+                    return self._place(event.request_id, now_us)
         return []
 
     def _place(self, request: str, now_us: int) -> list[api.Action]:
@@ -73,7 +73,7 @@
         if server is None:
             del self._asked[request]
             advice_us = min(ADVICE_US, self._settings.max_retry_after_us)
-            return [api.Refuse(request, advice_us * self._settings.can_advise_retry_after)]
+            return [api.Reject(request, advice_us * self._settings.can_advise_retry_after)]
         tried.append(server)
         wait_us = left_us if len(tried) == TRIES else left_us // 2
         return [api.Send(request, server, now_us + wait_us)]
@@ -81,7 +81,7 @@
     def _choose(self, asked: api.Request, names: list[str], now_us: int) -> str | None:
         raise NotImplementedError
 
-    def _bears(self, machine: Machine, units: float, now_us: int) -> bool:
+    def _bears(self, machine: ServerModel, units: float, now_us: int) -> bool:
         """Whether a cold machine's budget has room, seen as a whole (both policies see it: it is a rule)."""
         if machine.share(now_us) >= 1.0:
             return True
@@ -109,7 +109,7 @@
     first, as long as another has room; low worth is refused before high.
     """
 
-    def __init__(self, realm: Realm, settings: api.Settings, seed: int) -> None:
+    def __init__(self, realm: WorldState, settings: api.Settings, seed: int) -> None:
         super().__init__(realm, settings, seed)
         self._mine: dict[str, dict[str, api.Request]] = {}  # standing, by server
         self._at: dict[str, str] = {}
@@ -120,21 +120,21 @@
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
         match event:
-            case api.TimerDue():
+            case api.TimerExpired():
                 return [api.SetTimer(now_us + RELIEF_US, 0), *self._relieve(now_us)]
-            case api.Begun():
-                self._stands(self._asked[event.request][0], event.server)
-            case api.Existing():
+            case api.AttemptEstablished():
+                self._stands(self._asked[event.request_id][0], event.server)
+            case api.SessionRestored():
                 self._stands(event.request, event.server)
-            case api.Outcome():
-                server = self._at.pop(event.request, None)
+            case api.AttemptOutcome():
+                server = self._at.pop(event.request_id, None)
                 if server is not None:
-                    del self._mine[server][event.request]
+                    del self._mine[server][event.request_id]
         return super().handle(event, now_us)
 
     def _stands(self, asked: api.Request, server: str) -> None:
-        self._at[asked.request] = server
-        self._mine.setdefault(server, {})[asked.request] = asked
+        self._at[asked.request_id] = server
+        self._mine.setdefault(server, {})[asked.request_id] = asked
 
     def _relieve(self, now_us: int) -> list[api.Action]:
         moves: list[api.Action] = []
@@ -143,10 +143,13 @@
         room = sum(machine.utilisation < RELIEVE - 0.2 for machine in self._realm.serving())
         for name in over[: max(0, room)]:
             machine = machines[name]
-            if machine.life is not Life.SERVING:
+            if machine.life is not ServerLifecycle.SERVING:
                 continue
-            held = [(machine.held[each].units / (0.1 + self._worth(asked)), each)
-                    for each, asked in self._mine[name].items() if each in machine.held]  # fmt: skip
+            held = [
+                (machine.held[each].units / (0.1 + self._worth(asked)), each)
+                for each, asked in self._mine[name].items()
+                if each in machine.held
+            ]
             held.sort(reverse=True)
             left = machine.sum_units
             most = (machine.utilisation - RELIEVE + 0.05) / machine.utilisation * left
@@ -155,13 +158,13 @@
                 units = machine.held[each].units
                 if moved + units <= most * 1.2:
                     moved += units
-                    moves.append(api.Move(each))
+                    moves.append(api.Migrate(each))
                 if moved >= most:
                     break
         return moves
 
     def _worth(self, asked: api.Request) -> float:
-        return self._settings.profiles[asked.profile].worth / self._top_worth
+        return self._settings.profiles[asked.request_class].worth / self._top_worth
 
     def _choose(self, asked: api.Request, names: list[str], now_us: int) -> str | None:
         best, best_cost = None, float("inf")
@@ -169,7 +172,7 @@
             names = self._random.sample(names, 64)
         for name in names:
             machine = self._realm.machines[name]
-            if machine.life is not Life.SERVING or machine.resetting:
+            if machine.life is not ServerLifecycle.SERVING or machine.resetting:
                 continue
             machine.advance(now_us)
             units = machine.expected_units(asked.group) + machine.setting_up
@@ -183,9 +186,9 @@
         return best
 
 
-def floor(realm: Realm) -> Callable[[api.Settings, int], Module]:
+def floor(realm: WorldState) -> Callable[[api.Settings, int], DecisionPolicy]:
     return lambda settings, seed: Floor(realm, settings, seed)
 
 
-def top(realm: Realm) -> Callable[[api.Settings, int], Module]:
+def top(realm: WorldState) -> Callable[[api.Settings, int], DecisionPolicy]:
     return lambda settings, seed: Top(realm, settings, seed)
