--- a/stoatgw/emulator/doors.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -9,18 +9,26 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from stoatgw.decisions.interface import Request, Status
-from stoatgw.emulator.events import What
-from stoatgw.emulator.machine import Held, Life, Machine
-from stoatgw.emulator.population import Client
-from stoatgw.owner.messages import Arrived, AttemptEnd, AttemptEnded, AttemptUp, ClientLeft, Req, Stage
+from stoatgw.controller.messages import (
+    AttemptEnd,
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStage,
+    ClientDisconnected,
+    RequestReceived,
+    RequestState,
+)
+from stoatgw.decisions.interface import AttemptStatus, Request
+from stoatgw.emulator.world.events import EventKind
+from stoatgw.emulator.world.population import Client
+from stoatgw.emulator.world.server_model import Held, ServerLifecycle, ServerModel
 
 if TYPE_CHECKING:
-    from stoatgw.emulator.virtual import Proxy, World
+    from stoatgw.emulator.virtual.driver import Proxy, World
 
 DIAL_US = 250_000
 UNANSWERED_US, LOOK_US = 5_000_000, 250_000  # a connection unanswered so long is given up at the next look
-DESCRIPTORS_KEPT, REQUEST_HOLDS = 64, 2  # as `stoatgw/clients/room.py` has them
+DESCRIPTORS_KEPT, REQUEST_HOLDS = 64, 2  # as `stoatgw/clients/descriptor_limiter.py` has them
 
 
 class Session:
@@ -32,24 +40,29 @@
         profile = proxy.settings.profiles[self.profile]
         self.patience_us = profile.deadline_us
         self.group = int(population.group[index])
-        self.req = Req(
+        self.req = RequestState(
             Request(
-                request=name, profile=self.profile, patience_left_us=profile.deadline_us,
-                key=int(population.key[index]), group=self.group, returned=client.again,
+                request_id=name,
+                request_class=self.profile,
+                time_left_us=profile.deadline_us,
+                idempotency_key=int(population.key[index]),
+                group=self.group,
+                is_returning=client.again,
             ),
-            asked_us + profile.deadline_us, self,
-        )  # fmt: skip
+            asked_us + profile.deadline_us,
+            self,
+        )
         self.client_answered = False  # the client has its answer, or waits no longer
         self.answered = False  # the proxy gave its final answer
         self.known = False  # the owner knows the req
-        self.machine: Machine | None = None  # where an attempt is out, or where it stands
+        self.machine: ServerModel | None = None  # where an attempt is out, or where it stands
         self._attempt = -1
-        self._stage = Stage.CONNECTING
+        self._stage = AttemptStage.CONNECTING
         self._link = 0  # tells this attempt's events from an earlier one's
         self._up = False
         self._ended = False
         self._stood_us = 0
-        self._given_up = Status.REVOKED
+        self._given_up = AttemptStatus.REVOKED
 
     # The client's side.
 
@@ -65,9 +78,14 @@
         now_us = self._kernel.now_us()
         # As on sockets: the proxy knows what the line says, and when it read it.
         self.req.deadline_us = now_us + self.patience_us
-        realm.log(What.TAKEN, proxy.name, self.name, number=self.asked_us + self.patience_us - realm.start_us,
-                  detail=str(self.client.index))  # fmt: skip
-        proxy.owner.put(Arrived(self.req))
+        realm.log(
+            EventKind.TAKEN,
+            proxy.name,
+            self.name,
+            number=self.asked_us + self.patience_us - realm.start_us,
+            detail=str(self.client.index),
+        )
+        proxy.owner.post(RequestReceived(self.req))
 
     def client_left(self) -> None:
         """The client ended its side."""
@@ -79,20 +97,20 @@
             self._world.client_leaves(self)
             return
         way_us = self._realm.client_way_us + self._way_us(self.machine)
-        self._kernel.at(self._kernel.now_us() + way_us, partial(self.server_ends, "BYE", Status.DELIVERED))
+        self._kernel.at(self._kernel.now_us() + way_us, partial(self.server_ends, "BYE", AttemptStatus.DELIVERED))
 
     # The owner's side: see Door.
 
-    def begin(self, attempt: int, server: str, cut_at_us: int) -> None:
-        self._attempt, self._stage = attempt, Stage.CONNECTING
+    def start_attempt(self, attempt: int, server: str, cut_at_us: int) -> None:
+        self._attempt, self._stage = attempt, AttemptStage.CONNECTING
         if self._ended:
-            self._tell_end(Status.REVOKED, "its client has gone")
+            self._tell_end(AttemptStatus.REVOKED, "its client has gone")
             return
         self._link += 1
         self._world.tally["attempts"] += 1
         machine, now_us = self._realm.machines.get(server), self._kernel.now_us()
         if machine is None or self.proxy.backends.get(server) is None:
-            self._tell_end(Status.DIAL_FAILED, "no such backend")
+            self._tell_end(AttemptStatus.DIAL_FAILED, "no such backend")
             return
         self.machine = machine
         dial_us = min(now_us + DIAL_US, cut_at_us)
@@ -100,16 +118,16 @@
         failing = self.proxy.draws.next() < self._realm.scenario.network.connect_failures
         if self._realm.apart(self.proxy.zone, machine) or up_us > dial_us:
             self._later(dial_us, self._no_connect)
-        elif machine.life is Life.GONE or failing:
+        elif machine.life is ServerLifecycle.GONE or failing:
             self._later(up_us, self._no_connect)
         else:
             self._later(up_us, partial(self._connected, machine, cut_at_us))
 
-    def cancel(self, attempt: int) -> None:
+    def cancel_attempt(self, attempt: int) -> None:
         if attempt == self._attempt and not self._up:
-            self._end_attempt(Status.REVOKED, "given up")
+            self._end_attempt(AttemptStatus.REVOKED, "given up")
 
-    def refuse(self, retry_after_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         self._answer("busy", retry_after_us)
         self._finish("answered")
 
@@ -117,17 +135,17 @@
         self._answer("err", 0)
         self._finish("answered")
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         if self._ended:
             return
         if self._up:
-            self._realm.log(What.MOVED, self.proxy.name, self.name)
+            self._realm.log(EventKind.MOVED, self.proxy.name, self.name)
             self._client_lost("moved")
         self._finish("moved")
 
     # One attempt.
 
-    def _way_us(self, machine: Machine) -> int:
+    def _way_us(self, machine: ServerModel) -> int:
         base, jitter = self._realm.way_us(self.proxy.zone, machine), self._realm.scenario.network.jitter
         return max(1, int(base * (1.0 + jitter * (2.0 * self.proxy.draws.next() - 1.0))))
 
@@ -142,55 +160,57 @@
         self._kernel.at(at_us, partial(self.proxy.loop.deliver, run))
 
     def _no_connect(self) -> None:
-        self._end_attempt(Status.DIAL_FAILED, "could not connect")
+        self._end_attempt(AttemptStatus.DIAL_FAILED, "could not connect")
 
-    def _connected(self, machine: Machine, cut_at_us: int) -> None:
+    def _connected(self, machine: ServerModel, cut_at_us: int) -> None:
         now_us, backend = self._kernel.now_us(), self.proxy.backends.get(machine.draw.name)
         grace_us = self.proxy.settings.drain_grace_us
-        if backend is None or not backend.may_send(now_us, grace_us) or now_us >= cut_at_us:
-            self._end_attempt(Status.DIAL_FAILED, "it left meanwhile, or no time is left")
+        if backend is None or not backend.accepts_new_sessions(now_us, grace_us) or now_us >= cut_at_us:
+            self._end_attempt(AttemptStatus.DIAL_FAILED, "it left meanwhile, or no time is left")
             return
-        self._stage = Stage.SENT
-        self._realm.log(What.SENT, self.proxy.name, self.name, machine.draw.name, self._attempt)
-        self._later(cut_at_us, partial(self._end_attempt, Status.EXPIRED, "timed out"))
+        self._stage = AttemptStage.SENT
+        self._realm.log(EventKind.SENT, self.proxy.name, self.name, machine.draw.name, self._attempt)
+        self._later(cut_at_us, partial(self._end_attempt, AttemptStatus.EXPIRED, "timed out"))
         way_us = self._way_us(machine)
         self._kernel.at(now_us + way_us, partial(self._at_server, machine, self._link, self._attempt, cut_at_us))
 
-    def _at_server(self, machine: Machine, link: int, attempt: int, cut_at_us: int) -> None:
+    def _at_server(self, machine: ServerModel, link: int, attempt: int, cut_at_us: int) -> None:
         """The line's last byte has come: from now on it may run, whether its proxy still waits or not."""
         if self._realm.apart(self.proxy.zone, machine):
             return
-        if machine.life is Life.GONE:
-            self._answered_by(machine, link, Status.DROPPED)
+        if machine.life is ServerLifecycle.GONE:
+            self._answered_by(machine, link, AttemptStatus.DROPPED)
             return
         now_us, name = self._kernel.now_us(), machine.draw.name
         units = machine.expected_units(self.group)
-        self._realm.log(What.RAN, self.proxy.name, self.name, name, attempt, f"{units:g}")
+        self._realm.log(EventKind.RAN, self.proxy.name, self.name, name, attempt, f"{units:g}")
         answer = machine.opened(now_us, units, self.group, cut_at_us)
         if answer.how == "reset":
-            self._answered_by(machine, link, Status.DROPPED)
+            self._answered_by(machine, link, AttemptStatus.DROPPED)
             return
         began_us = machine.started_us
         self._kernel.at(answer.at_us, partial(self._server_ready, machine, link, answer.how, began_us))
 
-    def _server_ready(self, machine: Machine, link: int, how: str, began_us: int) -> None:
+    def _server_ready(self, machine: ServerModel, link: int, how: str, began_us: int) -> None:
         if (machine.started_us == began_us and how == "up") or machine.setting_up > 0:
             machine.set_up()
-        if machine.life is Life.GONE or machine.started_us != began_us or self._link != link or self._ended:
+        if machine.life is ServerLifecycle.GONE or machine.started_us != began_us or self._link != link or self._ended:
             return  # its death was told already; or nobody waits any more
-        if how == "busy" or machine.life is not Life.SERVING:
-            self._answered_by(machine, link, Status.SHED)
+        if how == "busy" or machine.life is not ServerLifecycle.SERVING:
+            self._answered_by(machine, link, AttemptStatus.SHED)
             return
         units, change_us = self.client.load()
         live = not self.proxy.loop.frozen
-        held = Held(self.name, self.profile, units, self.group, live, partial(self.server_ends, "drop", Status.DROPPED))
+        held = Held(
+            self.name, self.profile, units, self.group, live, partial(self.server_ends, "drop", AttemptStatus.DROPPED)
+        )
         machine.hold(self._kernel.now_us(), held)
         self._kernel.at(self._kernel.now_us() + change_us, partial(self._change, machine))
         way_us = self._way_us(machine)
         if not self._realm.apart(self.proxy.zone, machine):
             self._later(self._kernel.now_us() + way_us, self._is_up)
 
-    def _change(self, machine: Machine) -> None:
+    def _change(self, machine: ServerModel) -> None:
         """The connection's load changes, while it stands there."""
         now_us = self._kernel.now_us()
         if self.name in machine.held and now_us < self._realm.end_us:
@@ -198,7 +218,7 @@
             machine.change(now_us, self.name, units)
             self._kernel.at(now_us + change_us, partial(self._change, machine))
 
-    def _answered_by(self, machine: Machine, link: int, status: Status) -> None:
+    def _answered_by(self, machine: ServerModel, link: int, status: AttemptStatus) -> None:
         if self._link == link and not self._ended:
             at_us = self._kernel.now_us() + self._way_us(machine)
             self._later(at_us, partial(self._end_attempt, status, status.value))
@@ -207,54 +227,61 @@
         if self.machine is None:
             return
         server = self.machine.draw.name
-        self._up, self._stage, self._stood_us = True, Stage.UP, self._kernel.now_us()
+        self._up, self._stage, self._stood_us = True, AttemptStage.ESTABLISHED, self._kernel.now_us()
         self._link += 1  # its time limit no longer counts
         self.proxy.standing.setdefault(server, {})[self.name] = self
-        self._realm.log(What.ENDED, self.proxy.name, self.name, server, self._attempt, "up")
+        self._realm.log(EventKind.ENDED, self.proxy.name, self.name, server, self._attempt, "up")
         self._answer("up", 0)
-        self._realm.log(What.UP, self.proxy.name, self.name, server, detail=str(self.client.index))
-        self.proxy.owner.put(AttemptUp(self.req, self._attempt))
-        if self.machine.life is Life.DRAINING:  # it sent all away while this UP was on its way
-            self.server_ends("MOVE", Status.REVOKED)
+        self._realm.log(EventKind.UP, self.proxy.name, self.name, server, detail=str(self.client.index))
+        self.proxy.owner.post(AttemptEstablished(self.req, self._attempt))
+        if self.machine.life is ServerLifecycle.DRAINING:  # it sent all away while this UP was on its way
+            self.server_ends("MOVE", AttemptStatus.REVOKED)
 
-    def stand_from_start(self, machine: Machine) -> None:
+    def stand_from_start(self, machine: ServerModel) -> None:
         """It stood at that server before the run."""
         self.proxy.sessions[self.name] = self
         self.known = self.answered = self.client_answered = self._up = True
-        self._stage, self._attempt, self.machine, self._stood_us = Stage.UP, 0, machine, self._kernel.now_us()
+        self._stage, self._attempt, self.machine, self._stood_us = (
+            AttemptStage.ESTABLISHED,
+            0,
+            machine,
+            self._kernel.now_us(),
+        )
         self.proxy.standing.setdefault(machine.draw.name, {})[self.name] = self
         units, change_us = self.client.load()
-        drop = partial(self.server_ends, "drop", Status.DROPPED)
+        drop = partial(self.server_ends, "drop", AttemptStatus.DROPPED)
         machine.hold(self._kernel.now_us(), Held(self.name, self.profile, units, self.group, True, drop))
         self._kernel.at(self._kernel.now_us() + change_us, partial(self._change, machine))
-        self._realm.log(What.UP, self.proxy.name, self.name, machine.draw.name, detail=str(self.client.index))
+        self._realm.log(EventKind.UP, self.proxy.name, self.name, machine.draw.name, detail=str(self.client.index))
 
-    def _end_attempt(self, status: Status, why: str) -> None:
+    def _end_attempt(self, status: AttemptStatus, why: str) -> None:
         """An attempt that is not up is over."""
-        machine, sent = self.machine, self._stage is Stage.SENT
+        machine, sent = self.machine, self._stage is AttemptStage.SENT
         self._link += 1
         self.machine = None
         if machine is not None:
             if sent:
-                self._realm.log(What.ENDED, self.proxy.name, self.name, machine.draw.name, self._attempt, status.value)
-                self._world.tally["wasted"] += status not in (Status.SHED, Status.DIAL_FAILED)
+                self._realm.log(
+                    EventKind.ENDED, self.proxy.name, self.name, machine.draw.name, self._attempt, status.value
+                )
+                self._world.tally["wasted"] += status not in (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED)
             self._let_go(machine)
         self._tell_end(status, why)
 
-    def _tell_end(self, status: Status, why: str) -> None:
-        self.proxy.owner.put(AttemptEnded(self.req, self._attempt, AttemptEnd(status, self._stage, why)))
+    def _tell_end(self, status: AttemptStatus, why: str) -> None:
+        self.proxy.owner.post(AttemptEnded(self.req, self._attempt, AttemptEnd(status, self._stage, why)))
 
-    def _let_go(self, machine: Machine) -> None:
+    def _let_go(self, machine: ServerModel) -> None:
         """Our side of the server's connection ends; it notices one way later."""
         at_us = self._kernel.now_us() + self._way_us(machine)
         self._kernel.at(at_us, partial(self._released, machine))
 
-    def _released(self, machine: Machine) -> None:
+    def _released(self, machine: ServerModel) -> None:
         machine.release(self._kernel.now_us(), self.name)
 
     # What ends it.
 
-    def server_ends(self, how: str, status: Status) -> None:
+    def server_ends(self, how: str, status: AttemptStatus) -> None:
         """The server ended the connection, or died: the proxy hears of it one way later."""
         machine = self.machine
         if machine is None or self._ended:
@@ -268,8 +295,8 @@
             return
         self._later(at_us, partial(self._backend_ended, how, status))
 
-    def _backend_ended(self, how: str, status: Status) -> None:
-        self._realm.log(What.OVER, self.proxy.name, self.name, detail=how)
+    def _backend_ended(self, how: str, status: AttemptStatus) -> None:
+        self._realm.log(EventKind.OVER, self.proxy.name, self.name, detail=how)
         if how != "BYE":
             self._client_lost("moved" if how == "MOVE" else "broken")
         self._close_standing()
@@ -286,21 +313,21 @@
         at_us = self._kernel.now_us() + int(every_us * self.proxy.draws.next()) + UNANSWERED_US
         self._later(at_us + int(LOOK_US * self.proxy.draws.next()), partial(self._give_up, machine))
 
-    def _give_up(self, machine: Machine) -> None:
+    def _give_up(self, machine: ServerModel) -> None:
         if self._realm.apart(self.proxy.zone, machine):
-            self._given_up = Status.DROPPED
-            self.move()
+            self._given_up = AttemptStatus.DROPPED
+            self.migrate()
 
     def proxy_died(self, how: str) -> None:
         """The process is gone: its connections are reset on both sides."""
         if self._ended:
             return
         if self._up and how == "stopped":
-            self._realm.log(What.CUT, self.proxy.name, self.name)
+            self._realm.log(EventKind.CUT, self.proxy.name, self.name)
         elif self._up:
-            self._realm.log(What.OVER, self.proxy.name, self.name, detail="proxy killed")
-        elif self.machine is not None and self._stage is Stage.SENT:
-            self._realm.log(What.ENDED, self.proxy.name, self.name, self.machine.draw.name, self._attempt, how)
+            self._realm.log(EventKind.OVER, self.proxy.name, self.name, detail="proxy killed")
+        elif self.machine is not None and self._stage is AttemptStage.SENT:
+            self._realm.log(EventKind.ENDED, self.proxy.name, self.name, self.machine.draw.name, self._attempt, how)
         self._client_lost("broken")
         self._ended = True
         self._link += 1
@@ -313,7 +340,7 @@
         if self._ended:
             return
         self.answered = True
-        self._realm.log(What.ANSWER, self.proxy.name, self.name, number=advice_us, detail=kind)
+        self._realm.log(EventKind.ANSWER, self.proxy.name, self.name, number=advice_us, detail=kind)
         self._to_client(kind, advice_us)
 
     def _to_client(self, kind: str, advice_us: int) -> None:
@@ -329,17 +356,17 @@
         if self._ended:
             return
         if tell:
-            self.proxy.owner.put(ClientLeft(self.req))
+            self.proxy.owner.post(ClientDisconnected(self.req))
         if self._up:
             if how == "left":
-                self._realm.log(What.OVER, self.proxy.name, self.name, detail="client left")
+                self._realm.log(EventKind.OVER, self.proxy.name, self.name, detail="client left")
             machine = self.machine
             self._close_standing()
             if machine is not None:
                 self._let_go(machine)
             self._tell_end(self._given_up, "given up")
         elif self.machine is not None:
-            self._end_attempt(Status.REVOKED, "given up")
+            self._end_attempt(AttemptStatus.REVOKED, "given up")
         self._leave()
 
     def _close_standing(self) -> None:
--- a/stoatgw/emulator/crowd.py
+++ b/stoatgw/emulator/world/client_population.py
@@ -8,13 +8,26 @@
 from functools import partial
 from typing import Generic, Protocol, TypeVar
 
-from stoatgw.emulator.population import Client
-from stoatgw.emulator.realm import Realm, Uniforms
+from stoatgw.emulator.world.population import Client
+from stoatgw.emulator.world.world_state import Uniforms, WorldState
 
 COUNTS = (
-    "tries", "first_tries", "up", "refused", "failed", "timed_out", "unreached", "attempts", "probes", "moved",
-    "broken", "cross_us", "stood_us", "late_failures", "wasted",
-)  # fmt: skip
+    "tries",
+    "first_tries",
+    "up",
+    "refused",
+    "failed",
+    "timed_out",
+    "unreached",
+    "attempts",
+    "probes",
+    "moved",
+    "broken",
+    "cross_us",
+    "stood_us",
+    "late_failures",
+    "wasted",
+)
 
 
 class Visit(Protocol):
@@ -29,8 +42,8 @@
 V = TypeVar("V", bound=Visit)
 
 
-class Crowd(Generic[V]):
-    def __init__(self, realm: Realm) -> None:
+class ClientPopulation(Generic[V]):
+    def __init__(self, realm: WorldState) -> None:
         self.realm = realm
         population, clients = realm.population, realm.scenario.clients
         self.clients = [Client(index, population, clients) for index in range(len(population))]
--- a/stoatgw/emulator/events.py
+++ b/stoatgw/emulator/world/events.py
@@ -14,7 +14,7 @@
 import msgspec
 
 
-class What(StrEnum):
+class EventKind(StrEnum):
     """What a record tells; `number` and `detail` mean what stands here."""
 
     TAKEN = "taken"  # the proxy took a req; number: when its client's time is up, us; detail: client
@@ -40,7 +40,7 @@
 
 class Event(msgspec.Struct, array_like=True, frozen=True, gc=False):
     t_us: int
-    what: What
+    what: EventKind
     proxy: str = ""
     req: str = ""
     server: str = ""
@@ -65,9 +65,15 @@
         self.count = 0
 
     def add(
-        self, t_us: int, what: What, proxy: str = "", req: str = "", server: str = "", number: int = 0,
+        self,
+        t_us: int,
+        what: EventKind,
+        proxy: str = "",
+        req: str = "",
+        server: str = "",
+        number: int = 0,
         detail: str = "",
-    ) -> None:  # fmt: skip
+    ) -> None:
         event = Event(t_us, what, proxy, req, server, number, detail)
         line = _ENCODER.encode(event) + b"\n"
         self._hash.update(line)
--- a/stoatgw/emulator/troubles.py
+++ b/stoatgw/emulator/world/faults.py
@@ -4,45 +4,45 @@
 
 from collections.abc import Callable
 
-from stoatgw.emulator import scenario as files
-from stoatgw.emulator.events import What
-from stoatgw.emulator.machine import Life, Machine
-from stoatgw.emulator.realm import Realm, Uniforms, fault_name
+from stoatgw.emulator.world import scenario as files
+from stoatgw.emulator.world.events import EventKind
+from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
+from stoatgw.emulator.world.world_state import Uniforms, WorldState, fault_name
 
 
-def schedule(realm: Realm) -> None:
+def schedule(realm: WorldState) -> None:
     """Put all faults of the scenario into the realm's time; each has a stream of its own."""
     for number, fault in enumerate(realm.scenario.faults):
         at_us = realm.start_us + int(fault.at_s * 1e6)
         realm.scheduler.at(at_us, lambda n=number, f=fault: _begin(realm, n, f))  # type: ignore[misc]
 
 
-def _begin(realm: Realm, number: int, fault: files.Faults) -> None:
+def _begin(realm: WorldState, number: int, fault: files.Faults) -> None:
     name = fault_name(fault)
-    realm.log(What.FAULT, number=number, detail=f"{name} begins")
+    realm.log(EventKind.FAULT, number=number, detail=f"{name} begins")
     draws = Uniforms(realm.streams.of("fault", number))
     span_s = _Begin(realm, draws).run(fault)
     end_us = realm.scheduler.now_us() + int(span_s * 1e6)
-    realm.scheduler.at(end_us, lambda: realm.log(What.FAULT, number=number, detail=f"{name} ends"))
+    realm.scheduler.at(end_us, lambda: realm.log(EventKind.FAULT, number=number, detail=f"{name} ends"))
 
 
 class _Begin:
     """Begins one fault; `run` gives how long it lasts, in seconds."""
 
-    def __init__(self, realm: Realm, draws: Uniforms) -> None:
+    def __init__(self, realm: WorldState, draws: Uniforms) -> None:
         self._realm, self._draws = realm, draws
         self._now_us = realm.scheduler.now_us()
 
     def _later(self, wait_s: float, action: Callable[[], None]) -> None:
         self._realm.scheduler.at(self._now_us + int(wait_s * 1e6), action)
 
-    def _some(self, part: float) -> list[Machine]:
+    def _some(self, part: float) -> list[ServerModel]:
         """A part of the serving machines, drawn."""
         serving = self._realm.serving()
         order = sorted(serving, key=lambda _: self._draws.next())
         return order[: round(part * len(serving))]
 
-    def _machine(self, number: int) -> Machine:
+    def _machine(self, number: int) -> ServerModel:
         return self._realm.machines[self._realm.first[number]]
 
     def run(self, fault: files.Faults) -> float:
@@ -117,10 +117,10 @@
         self._realm.cut = False
         self._realm.stage.cut_zones(False)
 
-    def _pause(self, machine: Machine, fault: files.Pauses, until_us: int, first: bool = False) -> None:
+    def _pause(self, machine: ServerModel, fault: files.Pauses, until_us: int, first: bool = False) -> None:
         scheduler, draws = self._realm.scheduler, self._draws
         now_us = scheduler.now_us()
-        if now_us >= until_us or machine.life in (Life.GONE, Life.VANISHED):
+        if now_us >= until_us or machine.life in (ServerLifecycle.GONE, ServerLifecycle.VANISHED):
             return
         if first:  # each at a phase of its own
             wait_s = draws.between(0.0, fault.every_s[1])
--- a/stoatgw/emulator/population.py
+++ b/stoatgw/emulator/world/population.py
@@ -10,8 +10,8 @@
 
 import numpy as np
 
-from stoatgw.emulator.scenario import Clients, Rush, Scenario
-from stoatgw.emulator.streams import Streams
+from stoatgw.emulator.world.scenario import Clients, Rush, Scenario
+from stoatgw.emulator.world.streams import Streams
 
 GRID_US = 100_000  # arrivals follow a curve of this step
 DRAWS = 16  # uniform numbers that each client has for its own choices; used in a ring
--- a/stoatgw/emulator/scenario.py
+++ b/stoatgw/emulator/world/scenario.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from stoatgw.config.toml import TomlError, convert, load_toml
-from stoatgw.rebalance.limits import Limits
+from stoatgw.rebalance.limits import RebalanceLimits
 
 VERSION = 1
 
@@ -143,7 +143,7 @@
 class Operators(Table, frozen=True):
     """What of the operators' own file a scenario sets."""
 
-    rebalance: Limits = Limits()
+    rebalance: RebalanceLimits = RebalanceLimits()
 
 
 class Fault(Table, frozen=True, tag_field="kind", tag=lambda name: re.sub(r"(?<!^)(?=[A-Z])", "_", name).lower()):
@@ -249,9 +249,22 @@
 
 
 Faults = (
-    Pauses | Shrink | Grow | Drop | Rush | RestartProxies | KillProxy | FreezeProxy | KillServer
-    | VanishServer | ResettingServer | StaleReports | SilentDiscovery | GarbledDiscovery | CutZones
-)  # fmt: skip
+    Pauses
+    | Shrink
+    | Grow
+    | Drop
+    | Rush
+    | RestartProxies
+    | KillProxy
+    | FreezeProxy
+    | KillServer
+    | VanishServer
+    | ResettingServer
+    | StaleReports
+    | SilentDiscovery
+    | GarbledDiscovery
+    | CutZones
+)
 
 
 class Scenario(Table, frozen=True):
@@ -289,7 +302,7 @@
 
 
 def read(data: dict[str, Any], source: str) -> Scenario:
-    names = {name for table in _tables() for name in table.__struct_fields__} | set(Limits.__struct_fields__)
+    names = {name for table in _tables() for name in table.__struct_fields__} | set(RebalanceLimits.__struct_fields__)
     try:
         scenario = convert(data, Scenario, source, names)
     except TomlError as fault:
@@ -334,8 +347,13 @@
 def _cross_checks(scenario: Scenario) -> list[tuple[str, str]]:
     """What no single field can tell: each as (field, why)."""
     faults: list[tuple[str, str]] = []
-    for at, table in (("fleet", scenario.fleet), ("clients", scenario.clients), ("network", scenario.network),
-                      ("discovery", scenario.discovery), ("proxies", scenario.proxies)):  # fmt: skip
+    for at, table in (
+        ("fleet", scenario.fleet),
+        ("clients", scenario.clients),
+        ("network", scenario.network),
+        ("discovery", scenario.discovery),
+        ("proxies", scenario.proxies),
+    ):
         faults += _ranges(at, table)
     for index, kind in enumerate(scenario.fleet.kinds):
         faults += _ranges(f"fleet.kinds.{index}", kind)
--- a/stoatgw/emulator/machine.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -15,8 +15,8 @@
 
 import numpy as np
 
-from stoatgw.emulator.ledger import Ledger
-from stoatgw.emulator.scenario import Fleet, Kind, Module
+from stoatgw.emulator.world.scenario import Fleet, Kind, Module
+from stoatgw.emulator.world.service_accounting import ServiceAccounting
 
 STEP_US = 25_000  # while work is piled up, its course is followed in steps of this length
 COLD_SLACK = 3.0  # units sent to a cold server beyond its budget that may be chance
@@ -24,7 +24,7 @@
 U_MOST = 0.98  # utilisation at which the tail of message times is as long as it gets
 
 
-class Life(Enum):
+class ServerLifecycle(Enum):
     SERVING = "SERVING"
     DRAINING = "DRAINING"
     GONE = "DELETED"  # the process ended: connections are refused
@@ -106,15 +106,15 @@
 
 
 @dataclass(eq=False)
-class Machine:
+class ServerModel:
     draw: Draw
     aims_s: tuple[float, ...]
     rules: Module
-    ledger: Ledger
+    ledger: ServiceAccounting
     stream: np.random.Generator
     now_us: int  # up to where its course is known
     started_us: int = 0  # when it last started cold; 0: long ago
-    life: Life = Life.SERVING
+    life: ServerLifecycle = ServerLifecycle.SERVING
     resetting: bool = False
     stale: bool = False
     backlog_s: float = 0.0
@@ -179,7 +179,7 @@
             self.now_us = until
 
     def _earn(self, until_us: int, utilisation: float) -> None:
-        if self.life in (Life.GONE, Life.VANISHED):
+        if self.life in (ServerLifecycle.GONE, ServerLifecycle.VANISHED):
             return
         wait_s = self.wait_s()
         for profile, count in enumerate(self.live):
@@ -195,7 +195,7 @@
         self._pressed(now_us, units)
         if self.resetting:
             return Answer("reset", now_us)
-        if self.life is not Life.SERVING or len(self.held) + self.setting_up >= self.draw.cap:
+        if self.life is not ServerLifecycle.SERVING or len(self.held) + self.setting_up >= self.draw.cap:
             return Answer("busy", now_us + int(self.wait_s() * 1e6))
         self.backlog_s += float(self.stream.uniform(*self.draw.setup_s))
         ready_us = now_us + int(self.wait_s() * 1e6)
@@ -269,7 +269,7 @@
 
     def _pressed(self, now_us: int, units: float) -> None:
         """Everything that reaches a cold machine presses on it, also what it turns away."""
-        if self.share(now_us) >= 1.0 or self.life is not Life.SERVING:
+        if self.share(now_us) >= 1.0 or self.life is not ServerLifecycle.SERVING:
             self.sent.clear()
             return
         self.sent.append((now_us, units))
@@ -281,7 +281,7 @@
     def begin(self, now_us: int) -> None:
         """The process starts, cold and empty."""
         self.advance(now_us)
-        self.life, self.started_us, self.backlog_s, self.paused_until_us = Life.SERVING, now_us, 0.0, 0
+        self.life, self.started_us, self.backlog_s, self.paused_until_us = ServerLifecycle.SERVING, now_us, 0.0, 0
         self.sent.clear()
         self._pending.clear()
         self.report = self._measure()
@@ -295,7 +295,7 @@
             self.report = self._pending.pop(0)[1]
         if not self.stale:
             self._pending.append((now_us + self.draw.report_late_us, self._measure()))
-        if self.backlog_s <= self.draw.buffer_s or self.life is not Life.SERVING:
+        if self.backlog_s <= self.draw.buffer_s or self.life is not ServerLifecycle.SERVING:
             return []
         dropped: list[Held] = []
         left = self.sum_units
--- a/stoatgw/emulator/ledger.py
+++ b/stoatgw/emulator/world/service_accounting.py
@@ -9,7 +9,7 @@
 WEIGHTS = {"whole": 0.55, "worst_window": 0.15, "worst_class": 0.3}
 
 
-class Ledger:
+class ServiceAccounting:
     """Earned and asked worth in buckets of a second."""
 
     def __init__(self, start_us: int, length_s: float, worths: tuple[float, ...]) -> None:
--- a/stoatgw/emulator/realm.py
+++ b/stoatgw/emulator/world/world_state.py
@@ -10,13 +10,13 @@
 
 import numpy as np
 
-from stoatgw.emulator.events import EventSink, What
-from stoatgw.emulator.kernel import Scheduler
-from stoatgw.emulator.ledger import Ledger
-from stoatgw.emulator.machine import Held, Life, Machine, draw
-from stoatgw.emulator.population import Population, draw_population
-from stoatgw.emulator.scenario import Kind, Scenario
-from stoatgw.emulator.streams import Streams
+from stoatgw.emulator.virtual.kernel import Scheduler
+from stoatgw.emulator.world.events import EventKind, EventSink
+from stoatgw.emulator.world.population import Population, draw_population
+from stoatgw.emulator.world.scenario import Kind, Scenario
+from stoatgw.emulator.world.server_model import Held, ServerLifecycle, ServerModel, draw
+from stoatgw.emulator.world.service_accounting import ServiceAccounting
+from stoatgw.emulator.world.streams import Streams
 
 TELL_PERIOD_US = 250_000  # discovery gathers what it has for a proxy, and tells it so often
 BLOCK = 512
@@ -39,32 +39,32 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class EndpointEntry:
     """One line of the list, as discovery gives it."""
 
     server: str
     lifecycle: str
     zone: int
-    kind: int
+    machine_kind: int
     started_us: int
 
 
-class Stage(Protocol):
+class WorldDriver(Protocol):
     """What a driver does when something happens to the world."""
 
-    def tell(self, proxy: int, rows: list[Told], whole: bool) -> None: ...
+    def tell(self, proxy: int, rows: list[EndpointEntry], whole: bool) -> None: ...
 
     def garble(self, proxy: int) -> None: ...
 
-    def sent_away(self, machine: Machine) -> None: ...
+    def sent_away(self, machine: ServerModel) -> None: ...
 
-    def died(self, machine: Machine) -> None: ...
+    def died(self, machine: ServerModel) -> None: ...
 
-    def vanished(self, machine: Machine) -> None: ...
+    def vanished(self, machine: ServerModel) -> None: ...
 
-    def grew(self, machine: Machine) -> None: ...
+    def grew(self, machine: ServerModel) -> None: ...
 
-    def dropped(self, machine: Machine, connections: list[Held]) -> None: ...
+    def dropped(self, machine: ServerModel, connections: list[Held]) -> None: ...
 
     def drop_clients(self, part: float, within_us: int) -> None: ...
 
@@ -77,7 +77,7 @@
     def cut_zones(self, cut: bool) -> None: ...
 
 
-class Realm:
+class WorldState:
     """The world of one run. `scheduler` is its clock; `stage` the driver's side."""
 
     def __init__(
@@ -92,9 +92,9 @@
         classes = scenario.clients.classes
         self.aims_s = tuple(each.aim_ms / 1e3 for each in classes)
         worths = tuple(each.worth for each in classes)
-        self.ledger = Ledger(self.start_us, scenario.length_s, worths)
-        self._machine_ledger = self.ledger if booked else Ledger(self.start_us, scenario.length_s, worths)
-        self.machines: dict[str, Machine] = {}
+        self.ledger = ServiceAccounting(self.start_us, scenario.length_s, worths)
+        self._machine_ledger = self.ledger if booked else ServiceAccounting(self.start_us, scenario.length_s, worths)
+        self.machines: dict[str, ServerModel] = {}
         self.proxies = [f"n{index}" for index in range(scenario.proxies.count)]
         self._numbers = 0
         self._kinds = kind_plan(scenario.fleet.kinds, scenario.fleet.servers)
@@ -103,12 +103,12 @@
         self.first = list(self.machines)
         full = sum(machine.draw.full_units for machine in self.machines.values())
         self.population: Population = draw_population(scenario, full, self.streams)
-        self._stage: Stage | None = None
+        self._stage: WorldDriver | None = None
         self._feeds = [Uniforms(self.streams.of("discovery", index)) for index in range(scenario.proxies.count)]
-        self._due: list[dict[int, list[Told]]] = [{} for _ in self.proxies]
+        self._due: list[dict[int, list[EndpointEntry]]] = [{} for _ in self.proxies]
         self._last_due: dict[tuple[int, str], int] = {}
         self._silent_until_us = 0
-        self.known: list[dict[str, Told]] = [
+        self.known: list[dict[str, EndpointEntry]] = [
             {name: self.row(machine) for name, machine in self.machines.items()} for _ in self.proxies
         ]
         self.cut = False
@@ -121,12 +121,12 @@
         self.client_way_us = int(1000 * nets.uniform(*network.client_ms))
 
     @property
-    def stage(self) -> Stage:
+    def stage(self) -> WorldDriver:
         if self._stage is None:
             raise RuntimeError("the realm has no driver yet")
         return self._stage
 
-    def begin(self, stage: Stage) -> None:
+    def begin(self, stage: WorldDriver) -> None:
         """Start the machines' periods; the driver is there from now on."""
         self._stage = stage
         for machine in self.machines.values():
@@ -138,27 +138,30 @@
         self.end_us = self.start_us + self.length_us
         self.ledger.start(self.start_us)
         population = self.population
-        self.ledger.ask(
-            population.profile, population.arrive_us + self.start_us, population.end_us + self.start_us
-        )
+        self.ledger.ask(population.profile, population.arrive_us + self.start_us, population.end_us + self.start_us)
 
     def log(
-        self, what: What, proxy: str = "", req: str = "", server: str = "", number: int = 0, detail: str = ""
+        self, what: EventKind, proxy: str = "", req: str = "", server: str = "", number: int = 0, detail: str = ""
     ) -> None:
         self.sink.add(self.scheduler.now_us() - self.start_us, what, proxy, req, server, number, detail)
 
     # Machines.
 
-    def _new_machine(self, cold: bool) -> Machine:
+    def _new_machine(self, cold: bool) -> ServerModel:
         number, fleet = self._numbers, self.scenario.fleet
         self._numbers += 1
         kind = self._kinds[number % len(self._kinds)]
         drawn = draw(
-            f"s-{number:04d}", number % len(fleet.zones), kind, fleet.kinds[kind], fleet, min(self.aims_s),
+            f"s-{number:04d}",
+            number % len(fleet.zones),
+            kind,
+            fleet.kinds[kind],
+            fleet,
+            min(self.aims_s),
             self.streams.of("machine", number),
-        )  # fmt: skip
+        )
         now_us = self.scheduler.now_us()
-        machine = Machine(
+        machine = ServerModel(
             drawn, self.aims_s, self.scenario.module, self._machine_ledger, self.streams.of("server", number), now_us
         )
         self.machines[drawn.name] = machine
@@ -168,17 +171,21 @@
             self._log_start(machine)
         return machine
 
-    def _log_start(self, machine: Machine) -> None:
+    def _log_start(self, machine: ServerModel) -> None:
         drawn = machine.draw
-        self.log(What.STARTED, server=drawn.name, number=round(drawn.full_units * 1000),
-                 detail=f"{drawn.cold_from:.6f},{drawn.cold_us}")  # fmt: skip
+        self.log(
+            EventKind.STARTED,
+            server=drawn.name,
+            number=round(drawn.full_units * 1000),
+            detail=f"{drawn.cold_from:.6f},{drawn.cold_us}",
+        )
 
-    def _start_ticks(self, machine: Machine) -> None:
+    def _start_ticks(self, machine: ServerModel) -> None:
         # Each machine refreshes its report at a phase of its own.
         phase = machine.draw.report_us * (machine.draw.cap % 97) // 97
         self.scheduler.at(self.scheduler.now_us() + phase + 1, lambda: self._tick(machine))
 
-    def _tick(self, machine: Machine) -> None:
+    def _tick(self, machine: ServerModel) -> None:
         now_us = self.scheduler.now_us()
         dropped = machine.tick(now_us)
         if dropped:
@@ -186,67 +193,67 @@
         if now_us < self.end_us:
             self.scheduler.at(now_us + machine.draw.report_us, lambda: self._tick(machine))
 
-    def way_us(self, zone: int, machine: Machine) -> int:
+    def way_us(self, zone: int, machine: ServerModel) -> int:
         """One way between a proxy's zone and a machine, without jitter."""
         return self._ways_us[zone][machine.draw.zone]
 
-    def apart(self, zone: int, machine: Machine) -> bool:
+    def apart(self, zone: int, machine: ServerModel) -> bool:
         """Whether nothing passes between a proxy's zone and a machine."""
-        return machine.life is Life.VANISHED or (self.cut and zone != machine.draw.zone)
+        return machine.life is ServerLifecycle.VANISHED or (self.cut and zone != machine.draw.zone)
 
     def proxy_zone(self, proxy: int) -> int:
         return proxy % len(self.scenario.fleet.zones)
 
-    def serving(self) -> list[Machine]:
-        return [machine for machine in self.machines.values() if machine.life is Life.SERVING]
+    def serving(self) -> list[ServerModel]:
+        return [machine for machine in self.machines.values() if machine.life is ServerLifecycle.SERVING]
 
-    def _fell(self, machine: Machine) -> None:
-        if machine.life is Life.SERVING:
-            self.log(What.FELL, server=machine.draw.name)
+    def _fell(self, machine: ServerModel) -> None:
+        if machine.life is ServerLifecycle.SERVING:
+            self.log(EventKind.FELL, server=machine.draw.name)
             self.kill(machine)
 
-    def drain(self, machine: Machine) -> None:
+    def drain(self, machine: ServerModel) -> None:
         """It sends all away at once, wants nothing new, and ends some seconds later."""
-        if machine.life is not Life.SERVING:
+        if machine.life is not ServerLifecycle.SERVING:
             return
         now_us = self.scheduler.now_us()
         machine.advance(now_us)
-        machine.life = Life.DRAINING
+        machine.life = ServerLifecycle.DRAINING
         self.changed(machine)
         self.stage.sent_away(machine)
         span = Uniforms(self.streams.of("drain", int(machine.draw.name[2:])))
         gone_us = now_us + int(span.between(*self.scenario.fleet.drain_s) * 1e6)
         self.scheduler.at(gone_us, lambda: self.kill(machine))
 
-    def kill(self, machine: Machine) -> None:
+    def kill(self, machine: ServerModel) -> None:
         """The process ends: what it held is reset, and newcomers are refused."""
-        if machine.life in (Life.GONE, Life.VANISHED):
+        if machine.life in (ServerLifecycle.GONE, ServerLifecycle.VANISHED):
             return
         machine.advance(self.scheduler.now_us())
-        machine.life = Life.GONE
-        self.log(What.SILENT, server=machine.draw.name)
+        machine.life = ServerLifecycle.GONE
+        self.log(EventKind.SILENT, server=machine.draw.name)
         self.stage.died(machine)
         self.changed(machine)
 
-    def vanish(self, machine: Machine) -> None:
-        if machine.life in (Life.GONE, Life.VANISHED):
+    def vanish(self, machine: ServerModel) -> None:
+        if machine.life in (ServerLifecycle.GONE, ServerLifecycle.VANISHED):
             return
         machine.advance(self.scheduler.now_us())
-        machine.life = Life.VANISHED
-        self.log(What.SILENT, server=machine.draw.name)
+        machine.life = ServerLifecycle.VANISHED
+        self.log(EventKind.SILENT, server=machine.draw.name)
         self.stage.vanished(machine)
         self.changed(machine)
 
-    def back(self, machine: Machine) -> None:
+    def back(self, machine: ServerModel) -> None:
         """The process starts again, cold."""
-        if machine.life is Life.GONE:
+        if machine.life is ServerLifecycle.GONE:
             machine.begin(self.scheduler.now_us())
             self._log_start(machine)
-            self.log(What.LIVE, server=machine.draw.name)
+            self.log(EventKind.LIVE, server=machine.draw.name)
             self.stage.grew(machine)
             self.changed(machine)
 
-    def grow(self) -> Machine:
+    def grow(self) -> ServerModel:
         machine = self._new_machine(cold=True)
         self._start_ticks(machine)
         self.stage.grew(machine)
@@ -255,17 +262,17 @@
 
     # Discovery.
 
-    def row(self, machine: Machine) -> Told:
-        life = machine.life if machine.life is not Life.VANISHED else Life.GONE
-        return Told(machine.draw.name, life.value, machine.draw.zone, machine.draw.kind, machine.started_us)
+    def row(self, machine: ServerModel) -> EndpointEntry:
+        life = machine.life if machine.life is not ServerLifecycle.VANISHED else ServerLifecycle.GONE
+        return EndpointEntry(machine.draw.name, life.value, machine.draw.zone, machine.draw.kind, machine.started_us)
 
-    def changed(self, machine: Machine) -> None:
+    def changed(self, machine: ServerModel) -> None:
         """Discovery hears of it, and tells each proxy in its own time."""
         row, now_us, rules = self.row(machine), self.scheduler.now_us(), self.scenario.discovery
         spread = rules.notice_s
-        if machine.life is Life.SERVING:
+        if machine.life is ServerLifecycle.SERVING:
             spread = rules.add_s
-        elif machine.life is Life.VANISHED:
+        elif machine.life is ServerLifecycle.VANISHED:
             spread = rules.silent_notice_s
         for proxy, feed in enumerate(self._feeds):
             due_us = now_us + int(feed.between(*spread) * 1e6)
@@ -285,7 +292,7 @@
             return
         rows = self._due[proxy].pop(due_us)
         for row in rows:
-            if row.lifecycle == Life.GONE.value:
+            if row.lifecycle == ServerLifecycle.GONE.value:
                 self.known[proxy].pop(row.server, None)
             else:
                 self.known[proxy][row.server] = row
@@ -335,30 +342,42 @@
             "rank": proxy,
             "granularity_us": 5000,
             "bounds": {
-                "probes": module.probes, "cancelling": True, "parallel_tries": False,
-                "retry_after": module.retry_after_most_ms > 0, "max_attempts": module.max_attempts,
-                "max_retry_after_us": int(module.retry_after_most_ms * 1000), "dial_timeout_us": 250000,
+                "probes": module.probes,
+                "cancelling": True,
+                "parallel_tries": False,
+                "retry_after": module.retry_after_most_ms > 0,
+                "max_attempts": module.max_attempts,
+                "max_retry_after_us": int(module.retry_after_most_ms * 1000),
+                "dial_timeout_us": 250000,
             },
             "domain": {
-                "mode": "proxy", "groups": True, "tells_load": False, "tells_delay": module.tells_delay,
+                "mode": "proxy",
+                "groups": True,
+                "tells_load": False,
+                "tells_delay": module.tells_delay,
                 "message_aim_us": [round(each.aim_ms * 1000) for each in classes],
             },
             "prices": {"probe": module.probe_price},
             "profiles": [
                 {
-                    "name": each.name, "deadline_us": round(each.deadline_ms * 1000),
-                    "on_time_us": round(each.on_time_ms * 1000), "idempotency": "retryable", "worth": each.worth,
+                    "name": each.name,
+                    "deadline_us": round(each.deadline_ms * 1000),
+                    "on_time_us": round(each.on_time_ms * 1000),
+                    "idempotency": "retryable",
+                    "worth": each.worth,
                 }
                 for each in classes
             ],
             "report": {"via": "on_probe", "columns": ["errors_per_s", "outstanding", "utilization", "x0"]},
             "rules": {
-                "drain_grace_us": round(module.drain_grace_ms * 1000), "answer_slack_us": 50_000,
+                "drain_grace_us": round(module.drain_grace_ms * 1000),
+                "answer_slack_us": 50_000,
                 "cold_from": min(kind.cold_from[0] for kind in kinds) or 0.01,
                 "cold_us": round(max(kind.cold_s[1] for kind in kinds) * 1e6),
-                "fall_multiple": module.fall_multiple, "fall_us": round(module.fall_ms * 1000),
+                "fall_multiple": module.fall_multiple,
+                "fall_us": round(module.fall_ms * 1000),
             },
-        }  # fmt: skip
+        }
 
 
 def kind_plan(kinds: tuple[Kind, ...], servers: int) -> list[int]:
--- a/stoatgw/upgrade/plan.py
+++ b/stoatgw/hot_restart/handover.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from stoatgw.upgrade.peers import Peer
+from stoatgw.hot_restart.sibling_processes import ProcessRecord
 
 LEARN_US = 500_000  # a new process beside an old one first learns how full the servers are, for so long
 LIST_US = 2_500_000  # and waits so long for news of the list, if an old copy is at hand; it has 6 s
@@ -17,6 +17,6 @@
     return listed and now_us >= began_us + LIST_US
 
 
-def newer(own: Peer, others: Iterable[Peer]) -> bool:
+def newer(own: ProcessRecord, others: Iterable[ProcessRecord]) -> bool:
     """Whether another that takes clients began after this one: then that one alone accepts."""
-    return any(peer.ready and peer.since_us > own.since_us for peer in others)
+    return any(peer.is_accepting and peer.since_us > own.since_us for peer in others)
--- a/stoatgw/upgrade/beside.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -7,27 +7,27 @@
 
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.listener import Listener
-from stoatgw.director.director import Director
+from stoatgw.discovery.client import DiscoveryClient
+from stoatgw.hot_restart.handover import may_begin, newer
+from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
 from stoatgw.telemetry.log import EventLog
-from stoatgw.upgrade.peers import Peer, Peers
-from stoatgw.upgrade.plan import may_begin, newer
 
 LOOK_S = 0.1
 BASE = 24  # descriptors of a process beside those of its clients
 
 
-class Beside:
+class HotRestart:
     def __init__(
-        self, folder: str | None, context: ProxyContext, listener: Listener, director: Director, log: EventLog
+        self, folder: str | None, context: ProxyContext, listener: Listener, director: DiscoveryClient, log: EventLog
     ) -> None:
         self._context, self._listener, self._director, self._log = context, listener, director, log
-        self._peers = Peers(Path(folder)) if folder else None
-        self._own = Peer(False, context.clock.now_us(), BASE)
-        self._others: list[Peer] = []
-        self.accepts = False
+        self._peers = SiblingProcesses(Path(folder)) if folder else None
+        self._own = ProcessRecord(False, context.clock.now_us(), BASE)
+        self._others: list[ProcessRecord] = []
+        self.is_accepting = False
         self._told: dict[str, str] = {}  # troubles that last, by event: told once
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Be seen, and take clients unless another process still does."""
         if self._peers is None:
             self._log.event("peers_unseen", error="TMPDIR is not set")
@@ -38,7 +38,7 @@
                 self._log.event("peers_unseen", error=str(fault))
                 self._peers = None
         self._look()
-        if any(peer.ready for peer in self._others):
+        if any(peer.is_accepting for peer in self._others):
             self._log.event("beside", others=len(self._others))
             self._listener.accept(False)
         else:
@@ -46,12 +46,12 @@
 
     def _take_clients(self) -> None:
         """From now on this process is the one that accepts."""
-        self._own = replace(self._own, ready=True, since_us=self._context.clock.now_us())
+        self._own = replace(self._own, is_accepting=True, since_us=self._context.clock.now_us())
         self._tell()
-        self.accepts = True
+        self.is_accepting = True
         self._listener.accept(True)
 
-    def taken_over(self) -> bool:
+    def is_superseded(self) -> bool:
         """Whether a process that began later takes the clients."""
         self._look()
         return newer(self._own, self._others)
@@ -59,7 +59,7 @@
     def _tell(self) -> None:
         if self._peers is not None:
             try:
-                self._peers.tell(self._own)
+                self._peers.publish(self._own)
                 self._told.pop("peers_untold", None)
             except OSError as fault:
                 self._trouble("peers_untold", fault)
@@ -78,36 +78,36 @@
         except OSError as fault:
             self._trouble("peers_unseen", fault)
             self._others = []
-        self._context.room.elsewhere = sum(peer.held for peer in self._others)
+        self._context.descriptor_limiter.elsewhere = sum(peer.descriptors for peer in self._others)
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """To be called every LOOK_S."""
         self._look()
-        held = BASE + self._context.room.held
-        if held != self._own.held:
-            self._own = replace(self._own, held=held)
+        held = BASE + self._context.descriptor_limiter.held
+        if held != self._own.descriptors:
+            self._own = replace(self._own, descriptors=held)
             self._tell()
-        if not self._own.ready:
+        if not self._own.is_accepting:
             self._begin_later()
         else:
             self._yield_or_accept()
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """This process ends."""
         if self._peers is not None:
             self._peers.leave()
 
     def _begin_later(self) -> None:
-        now_us, known = self._context.clock.now_us(), self._context.backends.known
-        alone = not any(peer.ready for peer in self._others)  # whoever served has gone: nobody does now
-        if (alone and known) or may_begin(self._own.since_us, self._director.told_us, known, now_us):
+        now_us, known = self._context.clock.now_us(), self._context.backends.has_endpoints
+        alone = not any(peer.is_accepting for peer in self._others)  # whoever served has gone: nobody does now
+        if (alone and known) or may_begin(self._own.since_us, self._director.first_update_us, known, now_us):
             self._log.event("takes_over", others=len(self._others))
             self._take_clients()
 
     def _yield_or_accept(self) -> None:
         """Accept unless one that began later does; if that one dies, again."""
-        accepts = self._context.course.serving and not newer(self._own, self._others)
-        if accepts != self.accepts and self._context.course.serving:
-            self.accepts = accepts
+        accepts = self._context.lifecycle.is_serving and not newer(self._own, self._others)
+        if accepts != self.is_accepting and self._context.lifecycle.is_serving:
+            self.is_accepting = accepts
             self._log.event("accepts" if accepts else "yields")
             self._listener.accept(accepts)
--- a/stoatgw/upgrade/peers.py
+++ b/stoatgw/hot_restart/sibling_processes.py
@@ -18,36 +18,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Peer:
-    ready: bool  # it takes clients
+class ProcessRecord:
+    is_accepting: bool  # it takes clients
     since_us: int  # when it began, or began to take clients
-    held: int  # descriptors
+    descriptors: int  # descriptors
 
 
-class Peers:
+class SiblingProcesses:
     def __init__(self, folder: Path) -> None:
         self._folder, self._own = folder, folder / f"{PREFIX}{os.getpid()}{SUFFIX}"
         self._fd = -1
 
-    def join(self, peer: Peer) -> None:
+    def join(self, peer: ProcessRecord) -> None:
         """Be seen from now on. Raises OSError."""
         draft = self._own.with_suffix(".draft")
         # Locked before it has its name: another process never meets it unlocked.
         self._fd = os.open(draft, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
-            self.tell(peer)
+            self.publish(peer)
             draft.rename(self._own)
         except OSError:
             self.leave()
             raise
 
-    def tell(self, peer: Peer) -> None:
+    def publish(self, peer: ProcessRecord) -> None:
         """Raises OSError."""
         if self._fd >= 0:
-            os.pwrite(self._fd, RECORD.pack(VERSION, peer.ready, peer.since_us, peer.held), 0)
+            os.pwrite(self._fd, RECORD.pack(VERSION, peer.is_accepting, peer.since_us, peer.descriptors), 0)
 
-    def others(self) -> list[Peer]:
+    def others(self) -> list[ProcessRecord]:
         """Those that live beside this one; files that nobody locks are taken away. Raises OSError."""
         found = []
         for path in self._folder.glob(f"{PREFIX}*{SUFFIX}"):
@@ -58,16 +58,16 @@
                         found.append(peer)
         return found
 
-    def _look(self, path: Path) -> Peer | None:
+    def _look(self, path: Path) -> ProcessRecord | None:
         fd = os.open(path, os.O_RDWR | os.O_CLOEXEC)
         try:
             fcntl.flock(fd, fcntl.LOCK_SH | fcntl.LOCK_NB)
         except BlockingIOError:
             data = os.pread(fd, RECORD.size, 0)
             if len(data) < RECORD.size or not data.startswith(VERSION):
-                return Peer(False, 0, 0)  # another version, or half written: it lives, and takes nothing yet
+                return ProcessRecord(False, 0, 0)  # another version, or half written: it lives, and takes nothing yet
             _, ready, since_us, held = RECORD.unpack(data)
-            return Peer(ready, since_us, held)
+            return ProcessRecord(ready, since_us, held)
         else:
             path.unlink(missing_ok=True)
             return None
--- a/stoatgw/lab/bench.py
+++ b/stoatgw/lab/bench.py
@@ -54,19 +54,25 @@
             ours, theirs = np.array(pairs).T
             low, high = interval(ours / theirs)
             row: dict[str, Value] = {
-                "what": f"{kind} a second", "proxy": round(float(np.median(ours)), 1),
-                "relay": round(float(np.median(theirs)), 1), "ratio": round(float(np.mean(ours / theirs)), 4),
-                "low": round(low, 4), "high": round(high, 4), "rounds": rounds,
-            }  # fmt: skip
+                "what": f"{kind} a second",
+                "proxy": round(float(np.median(ours)), 1),
+                "relay": round(float(np.median(theirs)), 1),
+                "ratio": round(float(np.mean(ours / theirs)), 4),
+                "low": round(low, 4),
+                "high": round(high, 4),
+                "rounds": rounds,
+            }
             rows.append(row)
             yield _text(row)
         for target in ("proxy", "relay"):
             held = stand.hold(target, standing)
             row = {
-                "what": f"{target}: each standing connection", "kib": round(held.kib, 2),
-                "descriptors": round(held.descriptors, 3), "connections": held.connections,
+                "what": f"{target}: each standing connection",
+                "kib": round(held.kib, 2),
+                "descriptors": round(held.descriptors, 3),
+                "connections": held.connections,
                 "idle_mib": round(held.idle_mib, 2),
-            }  # fmt: skip
+            }
             rows.append(row)
             yield _text(row)
     if out is not None:
@@ -194,20 +200,39 @@
     """LB_CONFIG with limits that do not bind and servers that look empty."""
     instances = [
         {
-            "instanceId": f"s-{number}", "hostPort": f"{SERVER_NET}.{number + 1}:{PORT}", "zone": "near",
-            "machineType": "toy", "cell": 0, "lifecycle": "SERVING", "weight": 1.0, "startedAtMs": 0,
+            "instanceId": f"s-{number}",
+            "hostPort": f"{SERVER_NET}.{number + 1}:{PORT}",
+            "zone": "near",
+            "machineType": "toy",
+            "cell": 0,
+            "lifecycle": "SERVING",
+            "weight": 1.0,
+            "startedAtMs": 0,
         }
         for number in range(SERVERS)
-    ]  # fmt: skip
+    ]
     return {
-        "name": "bench", "listen": f"{PROXY}:{PORT}", "discovery": f"{DISCOVERY}:{PORT}", "seed": "1",
+        "name": "bench",
+        "listen": f"{PROXY}:{PORT}",
+        "discovery": f"{DISCOVERY}:{PORT}",
+        "seed": "1",
         "limits": {"cores": 1.0, "memory_mb": 4096, "sockets": 4 * standing + 4096},
         "known": {"generation": 1, "reset": True, "instances": instances},
         "settings": {
-            "areas": ["near"], "kinds": ["toy"], "locality": 0, "balancers": 1, "rank": 0, "granularity_us": 5000,
+            "areas": ["near"],
+            "kinds": ["toy"],
+            "locality": 0,
+            "balancers": 1,
+            "rank": 0,
+            "granularity_us": 5000,
             "bounds": {
-                "probes": True, "cancelling": True, "retry_after": True, "parallel_tries": False, "max_attempts": 6,
-                "max_retry_after_us": 1_000_000, "dial_timeout_us": 250_000,
+                "probes": True,
+                "cancelling": True,
+                "retry_after": True,
+                "parallel_tries": False,
+                "max_attempts": 6,
+                "max_retry_after_us": 1_000_000,
+                "dial_timeout_us": 250_000,
             },
             "domain": {"mode": "proxy", "groups": True, "message_aim_us": [1_000_000], "tells_delay": True},
             "prices": {"probe": 0.004},
@@ -216,11 +241,14 @@
             ],
             "report": {"via": "on_probe", "columns": ["outstanding", "x0"]},
             "rules": {
-                "drain_grace_us": 3_000_000, "cold_from": 0.13, "cold_us": 24_000_000, "fall_multiple": 4,
+                "drain_grace_us": 3_000_000,
+                "cold_from": 0.13,
+                "cold_us": 24_000_000,
+                "fall_multiple": 4,
                 "fall_us": 1_000_000,
             },
         },
-    }  # fmt: skip
+    }
 
 
 # The helpers' processes.
@@ -397,5 +425,3 @@
     await loop.run_in_executor(None, pipe.recv)
     for sock in socks:
         sock.close()
-
-
--- a/stoatgw/lab/charts.py
+++ b/stoatgw/lab/charts.py
@@ -14,7 +14,7 @@
 
 from stoatgw.lab.compare import Row, interval
 from stoatgw.lab.overview import Agreement
-from stoatgw.lab.play import Result, read_setups
+from stoatgw.lab.runner import Result, read_setups
 
 COLOURS = {"module": "#1f5fa8", "floor": "#b5542b", "top": "#3a8a4d"}
 META = {"Software": "stoatgw"}  # without it the file would name the library's version
@@ -141,8 +141,15 @@
             low, high = interval(values)
             mean = values.mean()
             label = policy if place == 0 else None
-            axes.errorbar([mean], [place + 0.22 - 0.22 * offset], xerr=[[mean - low], [high - mean]], fmt="o",
-                          color=COLOURS.get(policy, "black"), capsize=2, label=label)  # fmt: skip
+            axes.errorbar(
+                [mean],
+                [place + 0.22 - 0.22 * offset],
+                xerr=[[mean - low], [high - mean]],
+                fmt="o",
+                color=COLOURS.get(policy, "black"),
+                capsize=2,
+                label=label,
+            )
     axes.set_yticks(range(len(rows)), [name for name, _ in reversed(rows)])
     axes.set(xlabel=title, xlim=(None, 1.01))
     axes.grid(axis="x", alpha=0.3)
--- a/stoatgw/lab/compare.py
+++ b/stoatgw/lab/compare.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from stoatgw.lab.experiment import LabError, read_manifest, read_results
-from stoatgw.lab.play import Result
+from stoatgw.lab.runner import Result
 from stoatgw.lab.tables import Value, metrics
 
 RESAMPLES, LEVEL = 10_000, 0.95
@@ -33,10 +33,14 @@
 
     def record(self) -> dict[str, Value]:
         return {
-            "figure": self.name, "a": round(self.mean_a, 6), "b": round(self.mean_b, 6),
-            "difference": round(self.difference, 6), "low": round(self.low, 6), "high": round(self.high, 6),
+            "figure": self.name,
+            "a": round(self.mean_a, 6),
+            "b": round(self.mean_b, 6),
+            "difference": round(self.difference, 6),
+            "low": round(self.low, 6),
+            "high": round(self.high, 6),
             "seeds": self.seeds,
-        }  # fmt: skip
+        }
 
 
 def interval(values: np.ndarray) -> tuple[float, float]:
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -1,10 +1,10 @@
 """An experiment: a scenario, policies and seeds, with a folder that keeps what was asked and every result.
 
-    DIR/manifest.json     what was asked: scenario (whole), driver, policies, seeds, commit, versions
-    DIR/scenario.toml     the scenario's file as it was read
-    DIR/runs/P-S.json     the result of policy P on seed S; written whole or not at all
-    DIR/events/P-S.jsonl.gz   its event log, where asked for
-    DIR/runs.csv, runs.parquet, seconds.csv, seconds.parquet   the tables
+DIR/manifest.json     what was asked: scenario (whole), driver, policies, seeds, commit, versions
+DIR/scenario.toml     the scenario's file as it was read
+DIR/runs/P-S.json     the result of policy P on seed S; written whole or not at all
+DIR/events/P-S.jsonl.gz   its event log, where asked for
+DIR/runs.csv, runs.parquet, seconds.csv, seconds.parquet   the tables
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 import msgspec
 
 from stoatgw import __version__
-from stoatgw.emulator.scenario import Scenario, load
-from stoatgw.lab import play
+from stoatgw.emulator.world.scenario import Scenario, load
+from stoatgw.lab import runner
 
 FORMAT = 1
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -49,8 +49,11 @@
     def same_as(self, other: Manifest) -> bool:
         """Whether both ask for the same, but for how many seeds and which policies."""
         return (self.format, self.digest, self.driver, self.commit) == (
-            other.format, other.digest, other.driver, other.commit,
-        )  # fmt: skip
+            other.format,
+            other.digest,
+            other.driver,
+            other.commit,
+        )
 
 
 def scenario_folder() -> Path:
@@ -75,8 +78,12 @@
     try:
         found = subprocess.run(
             ["git", "describe", "--always", "--dirty", "--abbrev=12", "--exclude=*"],
-            cwd=ROOT, capture_output=True, text=True, timeout=10, check=True,
-        )  # fmt: skip
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            timeout=10,
+            check=True,
+        )
     except (OSError, subprocess.SubprocessError):
         return f"release {__version__}"
     return found.stdout.strip()
@@ -114,7 +121,7 @@
         return self.runs / f"{self.name}.json"
 
 
-def perform(task: Task, slot: int = 0, slots: int = 1) -> play.Result:
+def perform(task: Task, slot: int = 0, slots: int = 1) -> runner.Result:
     """Play one run and keep its result. On loopback, `slot` gives it cores and addresses of its own."""
     if task.driver == "loopback":
         before = os.sched_getaffinity(0)
@@ -122,14 +129,14 @@
         each = max(1, len(cores) // slots)
         try:
             os.sched_setaffinity(0, set(cores[slot * each : (slot + 1) * each]) or before)
-            result = play.play_loopback(task.scenario, task.seed, task.event_file, SLOT_STRIDE * slot)
+            result = runner.play_loopback(task.scenario, task.seed, task.event_file, SLOT_STRIDE * slot)
         finally:
             os.sched_setaffinity(0, before)
     else:
-        result = play.play_virtual(task.scenario, task.seed, task.policy, task.event_file)
-    data = play.encode(result)
+        result = runner.play_virtual(task.scenario, task.seed, task.policy, task.event_file)
+    data = runner.encode(result)
     write_whole(task.file, data)
-    return play.decode(data)  # as it is read when the experiment goes on: the tables are the same either way
+    return runner.decode(data)  # as it is read when the experiment goes on: the tables are the same either way
 
 
 def write_whole(path: Path, data: bytes) -> None:
@@ -145,18 +152,31 @@
 
     @classmethod
     def plan(
-        cls, path: Path, changes: tuple[str, ...], driver: str, policies: Iterable[str], seeds: Iterable[int],
-        events: bool, out: Path,
-    ) -> Experiment:  # fmt: skip
+        cls,
+        path: Path,
+        changes: tuple[str, ...],
+        driver: str,
+        policies: Iterable[str],
+        seeds: Iterable[int],
+        events: bool,
+        out: Path,
+    ) -> Experiment:
         """Check all that was asked before anything is run or written."""
         scenario = load(path, changes)
         policies = list(dict.fromkeys(policies))
         if driver == "loopback" and policies != ["module"]:
             raise LabError("--policy: on loopback the real program runs, and its module alone decides")
         manifest = Manifest(
-            format=FORMAT, scenario=scenario.name, digest=scenario.digest, changes=list(changes), driver=driver,
-            policies=policies, seeds=list(seeds), commit=commit(), versions=_versions(),
-        )  # fmt: skip
+            format=FORMAT,
+            scenario=scenario.name,
+            digest=scenario.digest,
+            changes=list(changes),
+            driver=driver,
+            policies=policies,
+            seeds=list(seeds),
+            commit=commit(),
+            versions=_versions(),
+        )
         experiment = cls(scenario, manifest, out, events)
         experiment._claim(path)
         return experiment
@@ -194,10 +214,10 @@
             for policy in self.manifest.policies
         ]
 
-    def run(self, jobs: int | None, done: Callable[[play.Result], None]) -> list[play.Result]:
+    def run(self, jobs: int | None, done: Callable[[runner.Result], None]) -> list[runner.Result]:
         """Play what is missing, several at a time, and write the tables. Gives all results, in order."""
         tasks = self.tasks()
-        results: dict[str, play.Result] = {}
+        results: dict[str, runner.Result] = {}
         missing: list[Task] = []
         for task in tasks:
             held = _read_result(task.file) if task.file.exists() else None
@@ -223,12 +243,12 @@
 
     @staticmethod
     def _spread(
-        missing: list[Task], jobs: int, results: dict[str, play.Result], done: Callable[[play.Result], None]
+        missing: list[Task], jobs: int, results: dict[str, runner.Result], done: Callable[[runner.Result], None]
     ) -> None:
         context = multiprocessing.get_context("spawn")  # nothing of this process leaks into a run
         queue, free = missing[::-1], list(range(jobs))
         with ProcessPoolExecutor(jobs, mp_context=context) as pool:
-            waiting: dict[Future[play.Result], tuple[Task, int]] = {}
+            waiting: dict[Future[runner.Result], tuple[Task, int]] = {}
             try:
                 while queue or waiting:
                     while queue and free:
@@ -255,14 +275,14 @@
         raise LabError(f"{file}: {error}") from None
 
 
-def _read_result(file: Path) -> play.Result | None:
+def _read_result(file: Path) -> runner.Result | None:
     try:
-        return play.decode(file.read_bytes())
+        return runner.decode(file.read_bytes())
     except (OSError, msgspec.DecodeError):
         return None  # played anew
 
 
-def read_results(folder: Path) -> list[play.Result]:
+def read_results(folder: Path) -> list[runner.Result]:
     """All results of an experiment, in the order of its seeds and policies."""
     manifest = read_manifest(folder)
     results = []
@@ -278,5 +298,3 @@
     if not results:
         raise LabError(f"{folder}: holds no results yet")
     return results
-
-
--- a/stoatgw/lab/upkeep.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -9,11 +9,11 @@
 
 import numpy as np
 
-from stoatgw.config.maintenance import Plan
-from stoatgw.emulator.loopback.upkeep import Upkeep
+from stoatgw.config.maintenance import MaintenancePlan
+from stoatgw.emulator.loopback.maintenance_run import MaintenanceRun
 from stoatgw.lab.experiment import LabError
 from stoatgw.lab.tables import Value, write_csv
-from stoatgw.maintenance.ledger import State
+from stoatgw.maintenance.rollout_state import StepState
 
 LIMIT_S = 300.0
 
@@ -30,14 +30,22 @@
         for kill in (False, True):
             plays = [asyncio.run(_play(servers, bound, kill)) for _ in range(repeats)]
             took = [play[0] for play in plays]
-            rows.append({
-                "servers": servers, "out_most": bound, "killed": int(kill), "plays": repeats,
-                "median_s": round(float(np.median(took)), 2), "least_s": round(min(took), 2),
-                "most_s": round(max(took), 2), "most_out": max(play[1] for play in plays),
-                "twice_or_never": sum(play[2] for play in plays),
-                "late": sum(play[3] for play in plays), "lost": sum(play[4] for play in plays),
-                "cut": sum(play[5] for play in plays),
-            })  # fmt: skip
+            rows.append(
+                {
+                    "servers": servers,
+                    "out_most": bound,
+                    "killed": int(kill),
+                    "plays": repeats,
+                    "median_s": round(float(np.median(took)), 2),
+                    "least_s": round(min(took), 2),
+                    "most_s": round(max(took), 2),
+                    "most_out": max(play[1] for play in plays),
+                    "twice_or_never": sum(play[2] for play in plays),
+                    "late": sum(play[3] for play in plays),
+                    "lost": sum(play[4] for play in plays),
+                    "cut": sum(play[5] for play in plays),
+                }
+            )
             yield ", ".join(f"{name} {value}" for name, value in rows[-1].items())
     write_csv(out / "upkeep.csv", rows)
     yield str(draw_upkeep(rows, out / "upkeep.png"))
@@ -46,10 +54,20 @@
 async def _play(servers: int, bound: int, kill: bool) -> tuple[float, int, int, int, int, int]:
     """Seconds from the first step to the last, most out at once, machines not worked on once, late, and clients
     lost and cut off."""
-    plan = Plan(name="upkeep", machines=tuple(f"s-{place}" for place in range(servers)), out_most=bound, zone_share=1.0,
-                settle_s=0.5, lapsed_s=3.0, step_s=60.0)  # fmt: skip
+    plan = MaintenancePlan(
+        name="upkeep",
+        machines=tuple(f"s-{place}" for place in range(servers)),
+        out_most=bound,
+        zone_share=1.0,
+        settle_s=0.5,
+        lapsed_s=3.0,
+        step_s=60.0,
+    )
     with tempfile.TemporaryDirectory() as folder:
-        async with Upkeep(Path(folder), plan, servers=servers, clients=3 * servers) as up, asyncio.timeout(LIMIT_S):
+        async with (
+            MaintenanceRun(Path(folder), plan, servers=servers, clients=3 * servers) as up,
+            asyncio.timeout(LIMIT_S),
+        ):
             await up.until(lambda look: look.ledger is not None and bool(look.ledger.steps))
             began_s = asyncio.get_running_loop().time()
             if kill:
@@ -60,5 +78,5 @@
             last = await up.finished()
             took_s = asyncio.get_running_loop().time() - began_s
             wrong = sum(up.worked[name] != 1 for name in plan.machines)
-            late = sum(step.state is State.LATE for step in last.steps.values())
+            late = sum(step.state is StepState.LATE for step in last.steps.values())
             return took_s, max(len(each.out()) for each in up.ledgers()), wrong, late, up.tally.lost, up.tally.cut
--- a/stoatgw/lab/overview.py
+++ b/stoatgw/lab/overview.py
@@ -9,7 +9,7 @@
 
 from stoatgw.lab.compare import interval
 from stoatgw.lab.experiment import LabError, read_results
-from stoatgw.lab.play import Result
+from stoatgw.lab.runner import Result
 from stoatgw.lab.tables import Value, metrics
 
 FIGURES = ("service", "worst_10s", "worst_class", "goal")
@@ -70,12 +70,18 @@
 
     def record(self) -> dict[str, Value]:
         return {
-            "scenario": self.scenario, "figure": self.figure, "virtual": round(self.virtual, 4),
-            "low": round(self.low, 4), "high": round(self.high, 4), "loopback": round(self.loopback, 4),
-            "within": "yes" if self.within else "no", "difference": round(self.difference, 4),
-            "difference_low": round(self.difference_low, 4), "difference_high": round(self.difference_high, 4),
+            "scenario": self.scenario,
+            "figure": self.figure,
+            "virtual": round(self.virtual, 4),
+            "low": round(self.low, 4),
+            "high": round(self.high, 4),
+            "loopback": round(self.loopback, 4),
+            "within": "yes" if self.within else "no",
+            "difference": round(self.difference, 4),
+            "difference_low": round(self.difference_low, 4),
+            "difference_high": round(self.difference_high, 4),
             "seeds": self.seeds,
-        }  # fmt: skip
+        }
 
 
 def agreement(virtual: Path, loopback: Path) -> list[Agreement]:
@@ -95,8 +101,16 @@
         change = interval(theirs - ours)
         found.append(
             Agreement(
-                foretold[seeds[0]].scenario, name, ours.mean(), low, high, theirs.mean(),
-                (theirs - ours).mean(), change[0], change[1], len(seeds),
+                foretold[seeds[0]].scenario,
+                name,
+                ours.mean(),
+                low,
+                high,
+                theirs.mean(),
+                (theirs - ours).mean(),
+                change[0],
+                change[1],
+                len(seeds),
             )
-        )  # fmt: skip
+        )
     return found
--- a/stoatgw/lab/show.py
+++ b/stoatgw/lab/progress.py
@@ -14,7 +14,7 @@
 
 from stoatgw.lab.compare import Row, interval
 from stoatgw.lab.experiment import Experiment
-from stoatgw.lab.play import Result
+from stoatgw.lab.runner import Result
 from stoatgw.lab.tables import Value, metrics
 
 SHOWN = ("service", "worst_10s", "worst_class", "goal", "moves_per_client", "refused_per_try", "setup_p99_ms")
@@ -26,9 +26,13 @@
     def __init__(self, experiment: Experiment) -> None:
         self._console = Console(stderr=True)
         self._bar = Bar(
-            TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeRemainingColumn(),
-            console=self._console, disable=not self._console.is_terminal,
-        )  # fmt: skip
+            TextColumn("{task.description}"),
+            BarColumn(),
+            MofNCompleteColumn(),
+            TimeRemainingColumn(),
+            console=self._console,
+            disable=not self._console.is_terminal,
+        )
         self._task = self._bar.add_task(experiment.scenario.name, total=len(experiment.tasks()))
 
     def __enter__(self) -> Progress:
@@ -77,8 +81,9 @@
             console.print(f"void: {result.policy} seed {result.seed}: {result.void}", highlight=False)
         if result.broken_count:
             status = 1
-            console.print(f"{result.broken_count} broken: {result.policy} seed {result.seed}: {result.broken[0]}",
-                          highlight=False)  # fmt: skip
+            console.print(
+                f"{result.broken_count} broken: {result.policy} seed {result.seed}: {result.broken[0]}", highlight=False
+            )
     console.print(f"results in {experiment.out}", highlight=False)
     return status
 
@@ -89,8 +94,9 @@
         table.add_column(name, justify="left" if name == "figure" else "right")
     for row in rows:
         span = f"[{row.low:+.4f}, {row.high:+.4f}]" if row.seeds > 1 else "one seed"
-        table.add_row(row.name, f"{row.mean_a:.4f}", f"{row.mean_b:.4f}", f"{row.difference:+.4f}", span,
-                      "*" if row.sure else "")  # fmt: skip
+        table.add_row(
+            row.name, f"{row.mean_a:.4f}", f"{row.mean_b:.4f}", f"{row.difference:+.4f}", span, "*" if row.sure else ""
+        )
     _console().print(table)
 
 
--- a/stoatgw/lab/report.py
+++ b/stoatgw/lab/report.py
@@ -11,7 +11,7 @@
 from stoatgw.lab import charts
 from stoatgw.lab.compare import compare, interval
 from stoatgw.lab.experiment import read_manifest, read_results, write_whole
-from stoatgw.lab.play import Result
+from stoatgw.lab.runner import Result
 from stoatgw.lab.tables import metrics
 
 PAGE = """<!doctype html>
@@ -50,14 +50,23 @@
     images.append(("Set-up times", charts.draw_setups(good, pictures / "setups.png")))
     images.append(("Answers and moves", charts.draw_counts(good, policies[0], pictures / "counts.png")))
     about = (folder / "scenario.toml").read_text() if (folder / "scenario.toml").exists() else ""
-    page = Environment(autoescape=True).from_string(PAGE).render(
-        manifest=manifest, policies=policies, rows=_rows(good, policies), runs=len(results),
-        about=next((line.partition("=")[2].strip(' "') for line in about.splitlines() if line.startswith("about")), ""),
-        gaps=_gaps(good, policies),
-        void=[f"{result.policy} seed {result.seed}: {result.void}" for result in results if result.void],
-        broken=[f"{result.policy} seed {result.seed}: {text}" for result in results for text in result.broken],
-        images=[(title, base64.b64encode(path.read_bytes()).decode()) for title, path in images],
-    )  # fmt: skip
+    page = (
+        Environment(autoescape=True)
+        .from_string(PAGE)
+        .render(
+            manifest=manifest,
+            policies=policies,
+            rows=_rows(good, policies),
+            runs=len(results),
+            about=next(
+                (line.partition("=")[2].strip(' "') for line in about.splitlines() if line.startswith("about")), ""
+            ),
+            gaps=_gaps(good, policies),
+            void=[f"{result.policy} seed {result.seed}: {result.void}" for result in results if result.void],
+            broken=[f"{result.policy} seed {result.seed}: {text}" for result in results for text in result.broken],
+            images=[(title, base64.b64encode(path.read_bytes()).decode()) for title, path in images],
+        )
+    )
     file = folder / "report.html"
     write_whole(file, page.encode())
     return file
--- a/stoatgw/lab/play.py
+++ b/stoatgw/lab/runner.py
@@ -10,14 +10,14 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from stoatgw.emulator.checker import Checker, Figures
-from stoatgw.emulator.events import Event, EventSink, What
-from stoatgw.emulator.ledger import goal
-from stoatgw.emulator.machine import Life
-from stoatgw.emulator.policies import floor, top
-from stoatgw.emulator.realm import Realm
-from stoatgw.emulator.scenario import Scenario
-from stoatgw.emulator.virtual import AFTER_US, Policy, World, module
+from stoatgw.emulator.checker.checker import Checker, CheckerLimits
+from stoatgw.emulator.virtual.driver import AFTER_US, Policy, World, module
+from stoatgw.emulator.virtual.policies import floor, top
+from stoatgw.emulator.world.events import Event, EventKind, EventSink
+from stoatgw.emulator.world.scenario import Scenario
+from stoatgw.emulator.world.server_model import ServerLifecycle
+from stoatgw.emulator.world.service_accounting import goal
+from stoatgw.emulator.world.world_state import WorldState
 from stoatgw.lab.scorecard import Scorecard
 
 POLICIES: dict[str, Policy] = {"module": module, "floor": floor, "top": top}
@@ -73,18 +73,18 @@
         return cls(seconds, {name: [0.0] * seconds for name in names}, [])
 
     def feed(self, event: Event) -> None:
-        if event.what is What.FAULT:
+        if event.what is EventKind.FAULT:
             self.faults.append((event.t_us / 1e6, event.detail))
             return
         second = event.t_us // 1_000_000
-        name = event.detail if event.what is What.ANSWER else event.what.value
-        if 0 <= second < self.seconds and name in self.counts and event.what is not What.UP:
+        name = event.detail if event.what is EventKind.ANSWER else event.what.value
+        if 0 <= second < self.seconds and name in self.counts and event.what is not EventKind.UP:
             self.counts[name][second] += 1
 
 
-def figures(scenario: Scenario) -> Figures:
+def figures(scenario: Scenario) -> CheckerLimits:
     rules = scenario.module
-    return Figures(round(rules.drain_grace_ms * 1000), rules.fall_multiple, round(rules.fall_ms * 1000))
+    return CheckerLimits(round(rules.drain_grace_ms * 1000), rules.fall_multiple, round(rules.fall_ms * 1000))
 
 
 def play_virtual(
@@ -118,7 +118,7 @@
     file = gzip.GzipFile(events, "wb", 6, mtime=0) if events is not None else None
     late, cards = Late(), list[Scorecard]()
 
-    def watch(realm: Realm) -> dict[str, list[float]]:
+    def watch(realm: WorldState) -> dict[str, list[float]]:
         cards.append(make_card(realm))
         late.card = cards[0]
         return sample_loads(realm)
@@ -131,9 +131,18 @@
             file.close()
     checker.finish(world.realm.length_us + AFTER_US)
     return make_result(
-        world.realm, seed, "module", "loopback", world.tally, world.setups_us, checker, recorder, world.loads,
-        cards[0], void,
-    )  # fmt: skip
+        world.realm,
+        seed,
+        "module",
+        "loopback",
+        world.tally,
+        world.setups_us,
+        checker,
+        recorder,
+        world.loads,
+        cards[0],
+        void,
+    )
 
 
 @dataclass(slots=True)
@@ -153,16 +162,16 @@
         self.card.feed(event)
 
 
-def make_card(realm: Realm) -> Scorecard:
+def make_card(realm: WorldState) -> Scorecard:
     def load(server: str) -> float:
         machine = realm.machines.get(server)
-        return machine.utilisation if machine is not None and machine.life is Life.SERVING else 0.0
+        return machine.utilisation if machine is not None and machine.life is ServerLifecycle.SERVING else 0.0
 
     worths = tuple(each.worth for each in realm.scenario.clients.classes)
     return Scorecard(realm.population, worths, realm.length_us, load)
 
 
-def sample_loads(realm: Realm) -> dict[str, list[float]]:
+def sample_loads(realm: WorldState) -> dict[str, list[float]]:
     """Utilisation once a second, filled while the run goes on."""
     loads: dict[str, list[float]] = {}
     few = realm.scenario.fleet.servers <= SERVERS_SHOWN
@@ -188,9 +197,18 @@
 
 
 def make_result(
-    realm: Realm, seed: int, policy: str, driver: str, tally: dict[str, int], setups_us: list[tuple[int, int]],
-    checker: Checker, recorder: Recorder, loads: dict[str, list[float]], card: Scorecard, void: str = "",
-) -> Result:  # fmt: skip
+    realm: WorldState,
+    seed: int,
+    policy: str,
+    driver: str,
+    tally: dict[str, int],
+    setups_us: list[tuple[int, int]],
+    checker: Checker,
+    recorder: Recorder,
+    loads: dict[str, list[float]],
+    card: Scorecard,
+    void: str = "",
+) -> Result:
     """Figures of a run that is over."""
     scenario, service = realm.scenario, realm.ledger.service()
     clients = max(1, len(realm.population))
@@ -205,20 +223,36 @@
     for profile, took_us in setups_us:
         histograms[profile].record_value(min(SETUP_MOST_US, max(1, took_us)))
     return Result(
-        scenario=scenario.name, digest=scenario.digest, seed=seed, policy=policy, driver=driver, void=void,
-        service=service, goal=goal(service, shares), tally=tally, shares=shares,
-        broken=[str(each) for each in checker.broken[:BROKEN_KEPT]], broken_count=len(checker.broken),
-        events=realm.sink.count, events_digest=realm.sink.digest, counts=checker.counts, faults=recorder.faults,
+        scenario=scenario.name,
+        digest=scenario.digest,
+        seed=seed,
+        policy=policy,
+        driver=driver,
+        void=void,
+        service=service,
+        goal=goal(service, shares),
+        tally=tally,
+        shares=shares,
+        broken=[str(each) for each in checker.broken[:BROKEN_KEPT]],
+        broken_count=len(checker.broken),
+        events=realm.sink.count,
+        events_digest=realm.sink.digest,
+        counts=checker.counts,
+        faults=recorder.faults,
         asked=[[round(x, 6) for x in row] for row in realm.ledger.asked.tolist()],
         earned=[[round(x, 6) for x in row] for row in realm.ledger.earned.tolist()],
-        classes=[each.name for each in scenario.clients.classes], seconds=recorder.counts, loads=loads,
+        classes=[each.name for each in scenario.clients.classes],
+        seconds=recorder.counts,
+        loads=loads,
         setups=[histogram.encode().decode() for histogram in histograms],
-        proxies=scenario.proxies.count, servers=scenario.fleet.servers, standing=realm.population.standing,
+        proxies=scenario.proxies.count,
+        servers=scenario.fleet.servers,
+        standing=realm.population.standing,
         recovery={
             name: round(value, 6)
             for name, value in card.figures(realm.ledger.asked, realm.ledger.earned, loads, recorder.faults).items()
         },
-    )  # fmt: skip
+    )
 
 
 def read_setups(result: Result) -> list[Any]:
@@ -232,5 +266,3 @@
 
 def decode(data: bytes) -> Result:
     return msgspec.json.decode(data, type=Result)
-
-
--- a/stoatgw/lab/scorecard.py
+++ b/stoatgw/lab/scorecard.py
@@ -10,8 +10,8 @@
 
 import numpy as np
 
-from stoatgw.emulator.events import Event, What
-from stoatgw.emulator.population import Population
+from stoatgw.emulator.world.events import Event, EventKind
+from stoatgw.emulator.world.population import Population
 
 AGAIN_US = 30_000_000  # a move is judged by what came of it within so long
 WITHIN = 0.02  # service is back once it is so near to what it was
@@ -48,20 +48,20 @@
 
     def feed(self, event: Event) -> None:
         match event.what:
-            case What.TAKEN:
+            case EventKind.TAKEN:
                 self._client[event.req] = int(event.detail)
                 self._wish(int(event.detail))
-            case What.UP:
+            case EventKind.UP:
                 self._client[event.req] = int(event.detail)
                 self._up(event)
-            case What.ANSWER:
+            case EventKind.ANSWER:
                 if event.detail != "up":
                     self._turn(event, "refused" if event.detail == "busy" else "failed")
-            case What.GONE:
+            case EventKind.GONE:
                 self._turn(event, "timed_out")
-            case What.MOVED:
+            case EventKind.MOVED:
                 self._moved(event)
-            case What.OVER | What.CUT:
+            case EventKind.OVER | EventKind.CUT:
                 self._over(event)
             case _:
                 pass
--- a/stoatgw/lab/sharing.py
+++ b/stoatgw/lab/sharing.py
@@ -11,17 +11,17 @@
 import numpy as np
 import orjson
 
-from stoatgw.config.membership import Membership
-from stoatgw.config.sharing import Sharing
-from stoatgw.decisions.interface import Status
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
+from stoatgw.controller.messages import HealthCheckCompleted, Message
+from stoatgw.decisions.interface import AttemptStatus
 from stoatgw.emulator.engine.gateway import NotFoundError, answer
 from stoatgw.emulator.engine.store import Store
 from stoatgw.lab.experiment import LabError
 from stoatgw.lab.tables import Value, write_csv
-from stoatgw.membership import words
-from stoatgw.membership.engine import Fault
-from stoatgw.owner.messages import Message, Probed
-from stoatgw.sharing.agent import TICK_S, Agent
+from stoatgw.membership import etcd_api
+from stoatgw.membership.client import CallFailure
+from stoatgw.shared_health_checks.checker import TICK_S, SharedHealthChecker
 from stoatgw.telemetry.log import EventLog
 
 TICK_US = int(TICK_S * 1e6)
@@ -40,25 +40,35 @@
         self.alive, self.frozen, self.linked = True, False, True
         self.told: set[str] = set()  # servers of which the decisions were told anything
         self.handed, self._own = 0, False
-        self.agent = Agent(fleet.membership, fleet.sharing, self.name, self, self, self._probe, fleet.servers,
-                           lambda: fleet.now_us, Silent("lab"), Random(place))  # fmt: skip
+        self.agent = SharedHealthChecker(
+            fleet.membership,
+            fleet.sharing,
+            self.name,
+            self,
+            self,
+            self._probe,
+            fleet.servers,
+            lambda: fleet.now_us,
+            Silent("lab"),
+            Random(place),
+        )
         # They look at times of their own, as processes that start one after the other do.
         self.next_look_us = Random(place).randrange(fleet.membership.look_ms * 1000)
 
-    async def call(self, path: str, body: words.Body) -> words.Body | Fault:
+    async def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
         if not self.linked:
-            return Fault("cut off", sent=False)
+            return CallFailure("cut off", may_have_run=False)
         return self._fleet.call(path, body)
 
-    def put(self, message: Message) -> None:
-        if isinstance(message, Probed):
+    def post(self, message: Message) -> None:
+        if isinstance(message, HealthCheckCompleted):
             self.told.add(message.server)
             self.handed += not self._own
 
     def _probe(self, server: str) -> None:
         self._fleet.probes.append((self._fleet.now_us, server))
         self._own = True
-        self.agent.put(Probed(server, Status.DELIVERED, 300, (0.4, 20.0)))
+        self.agent.post(HealthCheckCompleted(server, AttemptStatus.DELIVERED, 300, (0.4, 20.0)))
         self._own = False
 
     def look(self) -> None:
@@ -76,8 +86,8 @@
         self, proxies: int, servers: int, look_ms: int = 200, probe_ms: int = 250, stale_ms: int = 900
     ) -> None:
         self.now_us, self.store, self._names = 1_000_000, Store(), [f"s-{place}" for place in range(servers)]
-        self.membership = Membership(engine=("127.0.0.1:1",), lease_s=3, look_ms=look_ms, call_ms=300)
-        self.sharing = Sharing(probe_ms=probe_ms, stale_ms=stale_ms, take_ms=1_500)
+        self.membership = MembershipConfig(engine=("127.0.0.1:1",), lease_s=3, look_ms=look_ms, call_ms=300)
+        self.sharing = SharedHealthChecksConfig(probe_ms=probe_ms, stale_ms=stale_ms, take_ms=1_500)
         self.probes: list[tuple[int, str]] = []
         self._marked_us, self.calls, self.bytes = self.now_us, 0, 0
         self.proxies = [Proxy(self, place) for place in range(proxies)]
@@ -85,12 +95,12 @@
     def servers(self) -> list[str]:
         return self._names
 
-    def call(self, path: str, body: words.Body) -> words.Body | Fault:
+    def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
         self.calls += 1
         try:
             found = answer(self.store, path, body, self.now_us)
         except NotFoundError as error:
-            return Fault(str(error), sent=True)
+            return CallFailure(str(error), may_have_run=True)
         self.bytes += len(orjson.dumps(body)) + len(orjson.dumps(found))
         return found
 
@@ -142,7 +152,7 @@
     def spoil(self, place: int) -> None:
         """What a proxy of another version may publish."""
         key = f"{self.membership.scope}/sharing/reports/{self.proxies[place].name}"
-        answer(self.store, words.TXN, words.txn([], [words.put(key, b"{]")]), self.now_us)
+        answer(self.store, etcd_api.TXN, etcd_api.txn([], [etcd_api.put(key, b"{]")]), self.now_us)
 
 
 def measure(sizes: tuple[int, ...], servers: int, out: Path) -> Iterator[str]:
@@ -160,17 +170,25 @@
         fleet.run(4.0)
         rates, calls, sent = list(fleet.rates().values()), fleet.calls / 4.0, fleet.bytes / 4.0
         fleet.mark()
-        held = set(fleet.proxies[0].agent.holds)
+        held = set(fleet.proxies[0].agent.assigned_servers)
         fleet.lose(0, "killed")
         fleet.run(8.0)
         taken = [gap for name, gap in fleet.gaps_s().items() if name in held] or [0.0]
-        rows.append({
-            "proxies": count, "servers": servers, "probes_a_server_s": round(float(np.mean(rates)), 3),
-            "most": max(rates), "if_each_did": round(count * 4.0, 1), "engine_calls_s": round(calls, 1),
-            "engine_mb_s": round(sent / 1e6, 3), "gap_median_s": round(float(np.median(taken)), 3),
-            "gap_99th_s": round(float(np.quantile(taken, 0.99)), 3), "gap_worst_s": round(max(taken), 3),
-            "rate_after_kill": round(float(np.mean(list(fleet.rates().values()))), 3),
-        })  # fmt: skip
+        rows.append(
+            {
+                "proxies": count,
+                "servers": servers,
+                "probes_a_server_s": round(float(np.mean(rates)), 3),
+                "most": max(rates),
+                "if_each_did": round(count * 4.0, 1),
+                "engine_calls_s": round(calls, 1),
+                "engine_mb_s": round(sent / 1e6, 3),
+                "gap_median_s": round(float(np.median(taken)), 3),
+                "gap_99th_s": round(float(np.quantile(taken, 0.99)), 3),
+                "gap_worst_s": round(max(taken), 3),
+                "rate_after_kill": round(float(np.mean(list(fleet.rates().values()))), 3),
+            }
+        )
         yield ", ".join(f"{name} {value}" for name, value in rows[-1].items())
     write_csv(out / "sharing.csv", rows)
     seconds: list[dict[str, Value]] = []
--- a/stoatgw/lab/speed.py
+++ b/stoatgw/lab/speed.py
@@ -10,9 +10,9 @@
 import msgspec
 import numpy as np
 
-from stoatgw.emulator.events import EventSink
-from stoatgw.emulator.scenario import Scenario, Shrink
-from stoatgw.emulator.virtual import World
+from stoatgw.emulator.virtual.driver import World
+from stoatgw.emulator.world.events import EventSink
+from stoatgw.emulator.world.scenario import Scenario, Shrink
 from stoatgw.lab.experiment import LabError, find_scenario
 from stoatgw.lab.tables import Value, write_csv
 
@@ -25,18 +25,20 @@
 
 def scaled(servers: int) -> Scenario:
     """A calm day with a drain in it, of so many servers, one proxy for twenty of them (three at least)."""
-    from stoatgw.emulator.scenario import load
+    from stoatgw.emulator.world.scenario import load
 
     base = load(find_scenario("large"))
     length_s = LENGTHS_S.get(servers, LONG_S)
     proxies = max(3, servers // SERVERS_A_PROXY)
     per_core = base.fleet.per_core if servers >= 100 else (20.0, 40.0)
     return msgspec.structs.replace(
-        base, name=f"speed-{servers}", length_s=length_s,
+        base,
+        name=f"speed-{servers}",
+        length_s=length_s,
         fleet=msgspec.structs.replace(base.fleet, servers=servers, per_core=per_core),
         proxies=msgspec.structs.replace(base.proxies, count=proxies),
         faults=(Shrink(at_s=length_s / 3, to=0.9, over_s=length_s / 6),),
-    )  # fmt: skip
+    )
 
 
 def measure(servers: tuple[int, ...], out: Path) -> Iterator[str]:
@@ -88,13 +90,18 @@
         took.append(time.perf_counter() - ready)
     wall = float(np.median(took))
     return {
-        "servers": scenario.fleet.servers, "proxies": scenario.proxies.count,
-        "standing": world.realm.population.standing, "tries": world.tally["tries"],
-        "simulated_s": scenario.length_s, "wall_s": round(wall, 3), "speed": round(scenario.length_s / wall, 3),
-        "steps": world.kernel.steps, "us_a_step": round(1e6 * wall / world.kernel.steps, 2),
+        "servers": scenario.fleet.servers,
+        "proxies": scenario.proxies.count,
+        "standing": world.realm.population.standing,
+        "tries": world.tally["tries"],
+        "simulated_s": scenario.length_s,
+        "wall_s": round(wall, 3),
+        "speed": round(scenario.length_s / wall, 3),
+        "steps": world.kernel.steps,
+        "us_a_step": round(1e6 * wall / world.kernel.steps, 2),
         "set_up_s": round(float(np.median(built)), 3),
         "peak_mib": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
-    }  # fmt: skip
+    }
 
 
 def _text(row: dict[str, Value]) -> str:
--- a/stoatgw/lab/tables.py
+++ b/stoatgw/lab/tables.py
@@ -9,7 +9,7 @@
 import pyarrow.csv as pa_csv
 import pyarrow.parquet as pa_parquet
 
-from stoatgw.lab.play import Result, read_setups
+from stoatgw.lab.runner import Result, read_setups
 
 Value = str | int | float | None
 
@@ -42,9 +42,12 @@
 
 def run_row(result: Result) -> dict[str, Value]:
     head: dict[str, Value] = {
-        "scenario": result.scenario, "driver": result.driver, "policy": result.policy, "seed": result.seed,
+        "scenario": result.scenario,
+        "driver": result.driver,
+        "policy": result.policy,
+        "seed": result.seed,
         "void": result.void,
-    }  # fmt: skip
+    }
     return (
         head
         | {name: round(value, 6) for name, value in metrics(result).items()}
@@ -61,9 +64,13 @@
         earned = sum(each[second] for each in result.earned)
         mean = result.loads.get("mean", [])
         row: dict[str, Value] = {
-            "policy": result.policy, "seed": result.seed, "second": second, "asked": round(asked, 4),
-            "earned": round(earned, 4), "mean_load": mean[second] if second < len(mean) else None,
-        }  # fmt: skip
+            "policy": result.policy,
+            "seed": result.seed,
+            "second": second,
+            "asked": round(asked, 4),
+            "earned": round(earned, 4),
+            "mean_load": mean[second] if second < len(mean) else None,
+        }
         rows.append(row | {name: values[second] for name, values in result.seconds.items()})
     return rows
 
--- a/stoatgw/lines/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -18,27 +18,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Malformed:
+class MalformedRequest:
     """A line that cannot be read, and why."""
 
-    why: str
-    profile: str = ""  # its class, where the line was a request but for this
+    reason: str
+    class_name: str = ""  # its class, where the line was a request but for this
 
 
 @dataclass(slots=True)  # one is made for each request, and a frozen one takes three times as long
-class Open:
+class SessionRequest:
     """A client's first line."""
 
     line: bytes
-    request: str
-    key: int
-    profile: str
+    request_id: str
+    idempotency_key: int
+    class_name: str
     wait_ms: int
     group: int | None
-    hint: float | None
-    retry: bool
-    again: bool
-    at: str | None
+    load_hint: float | None
+    is_client_retry: bool
+    is_returning: bool
+    restore_at: str | None
     tenant: str = ""  # "": the line names none
     wait_at: tuple[int, int] = (0, 0)  # where in the line the value of `d` is
 
@@ -62,52 +62,52 @@
 PLAIN = field_pattern()
 
 
-def read_open(line: bytes, field: re.Pattern[bytes] = PLAIN) -> Open | Malformed:
+def parse_session_request(line: bytes, field: re.Pattern[bytes] = PLAIN) -> SessionRequest | MalformedRequest:
     """Read `OPEN id key name=value,...`; unknown names are passed over."""
     words = line.split(b" ", 3)
     if words[0] != b"OPEN" or len(words) != 4:
-        return Malformed("not an OPEN line")
+        return MalformedRequest("not an OPEN line")
     _, request, key, rest = words
     if not _ID.match(request) or not _HEX.match(key):
-        return Malformed("id or key is not hex")
+        return MalformedRequest("id or key is not hex")
     fields: dict[bytes, bytes] = {}
     at, wait_at = len(line) - len(rest), (0, 0)
     while at < len(line) or not rest:
         found = field.match(line, at)
         name = found and (found[1] or found[3])
         if not found or not name or name in fields:
-            return Malformed("a field is no name=value, or comes twice")
+            return MalformedRequest("a field is no name=value, or comes twice")
         fields[name] = found[2] or found[4]
         if name == b"d":
             wait_at = found.span(4)
         at = found.end()
     text = {name.decode(): value.decode() for name, value in fields.items()}
     if "c" not in text or not _DIGITS.match(fields.get(b"d", b"")):
-        return Malformed("field c or d is missing or no number")
+        return MalformedRequest("field c or d is missing or no number")
     if b"g" in fields and not _HEX.match(fields[b"g"]):
-        return Malformed("field g is not hex")
-    hint = read_number(text["h"]) if "h" in text else None
+        return MalformedRequest("field g is not hex")
+    hint = parse_number(text["h"]) if "h" in text else None
     if "h" in text and (hint is None or hint < 0):
-        return Malformed("field h is no number, or under 0")
+        return MalformedRequest("field h is no number, or under 0")
     if any(text.get(flag, "0") not in ("0", "1") for flag in ("r", "again")):
-        return Malformed("field r or again is neither 0 nor 1")
-    return Open(
+        return MalformedRequest("field r or again is neither 0 nor 1")
+    return SessionRequest(
         line=line,
-        request=request.decode("ascii"),
-        key=int(key, 16),
-        profile=text["c"],
+        request_id=request.decode("ascii"),
+        idempotency_key=int(key, 16),
+        class_name=text["c"],
         wait_ms=int(text["d"]),
         group=int(text["g"], 16) if "g" in text else None,
-        hint=hint,
-        retry=text.get("r") == "1",
-        again=text.get("again") == "1",
-        at=text.get("at"),
+        load_hint=hint,
+        is_client_retry=text.get("r") == "1",
+        is_returning=text.get("again") == "1",
+        restore_at=text.get("at"),
         tenant=text.get("t", ""),
         wait_at=wait_at,
     )
 
 
-def read_number(text: str) -> float | None:
+def parse_number(text: str) -> float | None:
     try:
         value = float(text)
     except ValueError:
@@ -115,7 +115,7 @@
     return value if math.isfinite(value) and abs(value) < NUMBER_MAX else None
 
 
-class Word(Enum):
+class Keyword(Enum):
     """What a line of a session server says."""
 
     UP = "UP"
@@ -128,32 +128,32 @@
     OTHER = ""
 
 
-WORDS = {word.value.encode(): word for word in Word if word.value}
+WORDS = {word.value.encode(): word for word in Keyword if word.value}
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
     """A line of a session server: its first word, and what follows."""
 
-    word: Word
-    rest: str = ""
+    keyword: Keyword
+    fields: str = ""
 
     @property
-    def report(self) -> dict[str, float]:
-        return read_report(self.rest)
+    def load_report(self) -> dict[str, float]:
+        return parse_load_report(self.fields)
 
 
-def read_reply(line: bytes) -> Reply:
+def parse_reply(line: bytes) -> Reply:
     word, _, rest = line.partition(b" ")
-    return Reply(WORDS.get(word, Word.OTHER), rest.decode("ascii", "replace"))
+    return Reply(WORDS.get(word, Keyword.OTHER), rest.decode("ascii", "replace"))
 
 
-def read_report(text: str) -> dict[str, float]:
+def parse_load_report(text: str) -> dict[str, float]:
     """`inflight=7,util=0.61`; what is no number is left out."""
     report: dict[str, float] = {}
     for part in text.split(","):
         name, found, number = part.strip().partition("=")
-        value = read_number(number) if found else None
+        value = parse_number(number) if found else None
         if name and value is not None:
             report[name] = value
     return report
--- a/stoatgw/lines/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -5,16 +5,16 @@
 LINE_CAP = 4096  # bytes in a line, its CRLF included
 
 
-class Splitter:
+class LineSplitter:
     """Gives whole lines without their CRLF; keeps the rest for later."""
 
     def __init__(self, cap: int = LINE_CAP) -> None:
         self._cap = cap
         self._rest = bytearray()
-        self.overlong = False  # a line went over the cap: nothing more is read
+        self.is_overlong = False  # a line went over the cap: nothing more is read
 
     def feed(self, data: bytes | bytearray | memoryview) -> list[bytes]:
-        if self.overlong:
+        if self.is_overlong:
             return []
         self._rest += data
         if b"\n" not in self._rest:
@@ -33,9 +33,9 @@
 
     def _check(self, size: int) -> bool:
         if size > self._cap:
-            self.overlong = True
+            self.is_overlong = True
             self._rest.clear()
-        return not self.overlong
+        return not self.is_overlong
 
     @property
     def rest(self) -> bytes:
--- a/stoatgw/maintenance/agent.py
+++ b/stoatgw/maintenance/controller.py
@@ -11,21 +11,21 @@
 
 import msgspec
 
-from stoatgw.config.maintenance import PROXY, Plan
-from stoatgw.config.membership import Membership
-from stoatgw.maintenance.keys import Keys, Look, Told, read_look
-from stoatgw.maintenance.ledger import Ledger, LedgerError, State, encode
-from stoatgw.maintenance.record import Record, RecordError
-from stoatgw.maintenance.steward import Change, Machine, Sight, Steward
-from stoatgw.membership import words
-from stoatgw.membership.engine import Caller, Fault
-from stoatgw.membership.holder import Holder
+from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.maintenance.keys import MaintenanceKeys, MemberStatus, StoreSnapshot, read_store_snapshot
+from stoatgw.maintenance.rollout_planner import FleetSnapshot, MachineStatus, RolloutChange, RolloutPlanner
+from stoatgw.maintenance.rollout_state import RolloutState, RolloutStateError, StepState, encode
+from stoatgw.maintenance.state_file import RolloutStateFile, RolloutStateFileError
+from stoatgw.membership import etcd_api
+from stoatgw.membership.client import CallFailure, CoordinationStore
+from stoatgw.membership.lease_holder import LeaseHolder
 from stoatgw.telemetry.log import EventLog
 
 BLOCKED_US = 5_000_000  # a maintenance that stands still is told of after so long
 
 
-class Hands(Protocol):
+class ProxyActions(Protocol):
     """What the agent does to its own proxy, and sees through it."""
 
     def take_out(self, servers: dict[str, int]) -> None:
@@ -33,35 +33,45 @@
 
     def drain(self) -> None: ...
 
-    def activate(self) -> None: ...
+    def cancel_drain(self) -> None: ...
 
-    def holds(self, server: str) -> int:
+    def connections_to(self, server: str) -> int:
         """Connections of this proxy there, standing or under way."""
 
     def clients(self) -> int: ...
 
-    def machines(self) -> dict[str, Machine]:
+    def machine_statuses(self) -> dict[str, MachineStatus]:
         """The session servers as discovery tells them; empty while it has told nothing."""
 
 
-class Agent:
+class MaintenanceController:
     def __init__(
-        self, told: Membership, plan: Plan, name: str, engine: Caller, hands: Hands, folder: str | None,
-        now_us: Callable[[], int], unix_us: Callable[[], int], log: EventLog, draws: random.Random, nonce: str,
-    ) -> None:  # fmt: skip
+        self,
+        told: MembershipConfig,
+        plan: MaintenancePlan,
+        name: str,
+        engine: CoordinationStore,
+        hands: ProxyActions,
+        folder: str | None,
+        now_us: Callable[[], int],
+        unix_us: Callable[[], int],
+        log: EventLog,
+        draws: random.Random,
+        nonce: str,
+    ) -> None:
         """`now_us`: monotonic. `unix_us` only marks times for people, and this process's start. `nonce`: another for
         each process, so that a name used twice, or again after a crash, is not taken for one holder."""
         self._plan, self._engine, self._hands, self._log, self._draws = plan, engine, hands, log, draws
         self._now_us, self._unix_us, self._pause_s = now_us, unix_us, told.look_ms / 1000
-        self._keys, self._name, self._start_ms = Keys(told.scope, plan.name), name, unix_us() // 1000
+        self._keys, self._name, self._start_ms = MaintenanceKeys(told.scope, plan.name), name, unix_us() // 1000
         self._identity = f"{name}-{nonce}"
         value = self._identity.encode()
-        self._place = Holder(engine, self._keys.member(self._identity), value, told.lease_s, now_us)
-        self._duty = Holder(engine, self._keys.duty, value, told.lease_s, now_us)
+        self._place = LeaseHolder(engine, self._keys.member(self._identity), value, told.lease_s, now_us)
+        self._duty = LeaseHolder(engine, self._keys.duty, value, told.lease_s, now_us)
         self._lease_us = told.lease_s * 1_000_000
-        self._record = Record(Path(folder), plan.name) if folder else None
-        self._steward = Steward(plan)
-        self._ledger: Ledger | None = None
+        self._record = RolloutStateFile(Path(folder), plan.name) if folder else None
+        self._steward = RolloutPlanner(plan)
+        self._ledger: RolloutState | None = None
         self._change, self._revision, self._held_since_us = 0, 0, 0
         self._out_us: dict[str, int] = {}
         self._drained, self._blocked_us = False, 0
@@ -70,14 +80,14 @@
         self._leads = True
         self._noted: dict[str, str] = {}
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """What was out before this process began is out before it hears of any list."""
         if self._record is None:
             self._note("maintenance_not_kept", "TMPDIR is not set")
             return
         try:
             self._ledger = self._record.load()
-        except RecordError as fault:  # the engine has it; until it answers nothing is known to be out
+        except RolloutStateFileError as fault:  # the engine has it; until it answers nothing is known to be out
             self._note("maintenance_unread", str(fault))
         self._apply()
 
@@ -85,7 +95,7 @@
         """Looks again and again; a fault of one look must not end the proxy."""
         while True:
             try:
-                await self.look()
+                await self.reconcile()
             except Exception as fault:
                 self._note("maintenance_fault", repr(fault))
             await asyncio.sleep(self._pause_s * self._draws.uniform(0.8, 1.2))
@@ -95,43 +105,43 @@
         """Of the duty, while this agent may act under it; else 0."""
         return self._duty.token()
 
-    async def leave(self) -> None:
+    async def stop(self) -> None:
         """The process is stopping: another may hold the duty from now on. Its place ends with its lease."""
         self._leads = False
         await self._duty.release()
 
-    async def look(self) -> None:
+    async def reconcile(self) -> None:
         """One look at the engine, and what follows from it."""
-        if self._place.due:
+        if self._place.is_due:
             self._heard(await self._place.step())
-        found = await self._engine.call(words.RANGE, words.under(self._keys.prefix))
-        if isinstance(found, Fault):
+        found = await self._engine.call(etcd_api.RANGE, etcd_api.under(self._keys.prefix))
+        if isinstance(found, CallFailure):
             self._heard(found)
             return
         try:
-            look = read_look(self._keys, words.read_range(found))
-        except (words.AnswerError, LedgerError) as error:
+            look = read_store_snapshot(self._keys, etcd_api.read_range(found))
+        except (etcd_api.ResponseError, RolloutStateError) as error:
             self._note("maintenance_unreadable", str(error))
             return
         self._heard(None)
         if not self._take(look):
             return
         await self._say()
-        if self._leads and self._duty.due:
+        if self._leads and self._duty.is_due:
             before = self._duty.token()
             await self._duty.step()
             token = self._duty.token()
             if token and token != before:
-                self._steward, self._held_since_us = Steward(self._plan), self._now_us()
+                self._steward, self._held_since_us = RolloutPlanner(self._plan), self._now_us()
                 self._log.event("maintenance_holds", token=token, identity=self._identity)
             elif before and not token:
                 self._log.event("maintenance_lost", token=before)
         if self._duty.token():
             await self._lead(look)
 
-    def _heard(self, fault: Fault | None) -> None:
+    def _heard(self, fault: CallFailure | None) -> None:
         """An engine that is away is told once, and once more when it is back."""
-        self._note("maintenance_engine_lost", "" if fault is None else fault.why)
+        self._note("maintenance_engine_lost", "" if fault is None else fault.reason)
 
     def _note(self, event: str, why: str) -> None:
         """A lasting trouble is logged when it begins and, where it does, when it ends."""
@@ -144,7 +154,7 @@
         else:
             self._noted.pop(event, None)
 
-    def _take(self, look: Look) -> bool:
+    def _take(self, look: StoreSnapshot) -> bool:
         """The engine's ledger becomes ours; whether this proxy may go by what it saw."""
         if look.revision < self._revision:
             self._note("maintenance_stale", "an older state than one seen before")
@@ -169,7 +179,7 @@
         try:
             self._record.save(self._ledger)
             self._note("maintenance_not_kept", "")
-        except RecordError as fault:  # the engine has it as well
+        except RolloutStateFileError as fault:  # the engine has it as well
             self._note("maintenance_not_kept", str(fault))
 
     def _apply(self) -> None:
@@ -183,12 +193,14 @@
         if mine and not self._drained:
             self._hands.drain()
         elif self._drained and not mine:
-            self._hands.activate()
+            self._hands.cancel_drain()
         self._drained = mine
 
     def _empty(self, out: Iterable[str]) -> list[str]:
         hands = self._hands
-        return [name for name in out if (hands.clients() if name.startswith(PROXY) else hands.holds(name)) == 0]
+        return [
+            name for name in out if (hands.clients() if name.startswith(PROXY) else hands.connections_to(name)) == 0
+        ]
 
     async def _say(self) -> None:
         """Tell under our own place what is out here, and what of it has nobody on it."""
@@ -199,34 +211,34 @@
         # What is told now was taken out in an earlier look or in this one: who is under way counts as there.
         empty = self._empty(name for name in told if name in self._told_before)
         self._told_before = set(told)
-        data = msgspec.json.encode(Told(self._name, self._start_ms, tuple(sorted(told)), tuple(sorted(empty))))
+        data = msgspec.json.encode(MemberStatus(self._name, self._start_ms, tuple(sorted(told)), tuple(sorted(empty))))
         if self._said == (data, token):
             return
-        write = words.txn(
-            [words.made_at(self._place.key, token)],
-            [words.put(self._keys.told(self._identity), data, self._place.lease)],
+        write = etcd_api.txn(
+            [etcd_api.made_at(self._place.key, token)],
+            [etcd_api.put(self._keys.told(self._identity), data, self._place.lease)],
         )
-        found = await self._engine.call(words.TXN, write)
-        if not isinstance(found, Fault) and words.read_txn(found).done:
+        found = await self._engine.call(etcd_api.TXN, write)
+        if not isinstance(found, CallFailure) and etcd_api.read_txn(found).succeeded:
             self._said = data, token
 
-    async def _lead(self, look: Look) -> None:
+    async def _lead(self, look: StoreSnapshot) -> None:
         """Write the next step, if one is due. The engine takes it only from the duty's holder, on the ledger seen."""
         ledger = look.ledger
         if ledger is not None and ledger.plan != self._plan.fingerprint:
             self._note("maintenance_plan_differs", f"another plan of the name {self._plan.name} is under way")
             return
         self._note("maintenance_plan_differs", "")
-        machines = self._hands.machines()
+        machines = self._hands.machine_statuses()
         if not machines:
             return
         if ledger is None:
             # Whoever has seen a ledger that the engine lost has come back and halted within a lease.
             if self._now_us() - self._held_since_us < self._lease_us:
                 return
-            change: Change | None = Change(Ledger(plan=self._plan.fingerprint), "begun")
+            change: RolloutChange | None = RolloutChange(RolloutState(plan=self._plan.fingerprint), "begun")
         else:
-            change = self._steward.next(ledger, Sight(machines, look.members), self._now_us())
+            change = self._steward.next(ledger, FleetSnapshot(machines, look.members), self._now_us())
             waits = change is None and not ledger.out() and self._steward.blocked
             self._blocked_us = (self._blocked_us or self._now_us()) if waits else 0
             lasts = waits and self._now_us() - self._blocked_us > BLOCKED_US + self._plan.settle_s * 1e6
@@ -237,16 +249,22 @@
         if change.event == "step_out":
             step = msgspec.structs.replace(fresh.steps[change.machine], token=token, at_ms=self._unix_us() // 1000)
             fresh = fresh.with_step(change.machine, step)
-        write = words.txn(
-            [words.made_at(self._keys.duty, token), words.changed_at(self._keys.ledger, look.ledger_change)],
-            [words.put(self._keys.ledger, encode(fresh))],
+        write = etcd_api.txn(
+            [etcd_api.made_at(self._keys.duty, token), etcd_api.changed_at(self._keys.ledger, look.ledger_change)],
+            [etcd_api.put(self._keys.ledger, encode(fresh))],
         )
         if not token:  # asked right before the act
             return
-        found = await self._engine.call(words.TXN, write)
-        if isinstance(found, Fault):
+        found = await self._engine.call(etcd_api.TXN, write)
+        if isinstance(found, CallFailure):
             self._heard(found)  # it may have been written: the next look tells
-        elif words.read_txn(found).done:
-            out = sum(step.state is State.OUT for step in fresh.steps.values())
-            self._log.event(f"maintenance_{change.event}", machine=change.machine, token=token, out=out,
-                            done=len(fresh.steps) - out, of=len(self._plan.machines))  # fmt: skip
+        elif etcd_api.read_txn(found).succeeded:
+            out = sum(step.state is StepState.OUT for step in fresh.steps.values())
+            self._log.event(
+                f"maintenance_{change.event}",
+                machine=change.machine,
+                token=token,
+                out=out,
+                done=len(fresh.steps) - out,
+                of=len(self._plan.machines),
+            )
--- a/stoatgw/maintenance/keys.py
+++ b/stoatgw/maintenance/keys.py
@@ -7,12 +7,12 @@
 
 import msgspec
 
-from stoatgw.maintenance.ledger import Ledger, decode
-from stoatgw.maintenance.steward import Member
-from stoatgw.membership.words import View
+from stoatgw.maintenance.rollout_planner import ProxyMember
+from stoatgw.maintenance.rollout_state import RolloutState, decode
+from stoatgw.membership.etcd_api import RangeSnapshot
 
 
-class Told(msgspec.Struct, frozen=True):
+class MemberStatus(msgspec.Struct, frozen=True):
     """What a proxy says of itself, under its own key."""
 
     name: str
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keys:
+class MaintenanceKeys:
     scope: str
     plan: str
 
@@ -46,42 +46,42 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class StoreSnapshot:
     """All keys of a maintenance, read at one revision."""
 
     revision: int
-    ledger: Ledger | None
+    ledger: RolloutState | None
     ledger_change: int  # the revision of its last change; 0 without one
     holder: str  # identity; "" where nobody holds the duty
     token: int
-    members: Mapping[str, Member]
+    members: Mapping[str, ProxyMember]
 
 
-def read_look(keys: Keys, view: View) -> Look:
+def read_store_snapshot(keys: MaintenanceKeys, view: RangeSnapshot) -> StoreSnapshot:
     """Raises LedgerError for a ledger that cannot be read; a member that cannot be read counts as none."""
     pair, duty = view.get(keys.ledger), view.get(keys.duty)
-    members: dict[str, Member] = {}
+    members: dict[str, ProxyMember] = {}
     places = keys.member("")
-    for each in view.pairs:
+    for each in view.entries:
         identity = each.key.removeprefix(places)
         if identity == each.key:
             continue
         said = view.get(keys.told(identity))
         # One that has a place and said nothing yet has nothing out.
-        told = _read_told(said.value) if said is not None else Told(identity, 0)
-        members[identity] = Member(told.name, told.start_ms, frozenset(told.told), frozenset(told.empty))
-    return Look(
+        told = _read_told(said.value) if said is not None else MemberStatus(identity, 0)
+        members[identity] = ProxyMember(told.name, told.start_ms, frozenset(told.told), frozenset(told.empty))
+    return StoreSnapshot(
         view.revision,
         decode(pair.value) if pair is not None else None,
-        pair.change if pair is not None else 0,
+        pair.mod_revision if pair is not None else 0,
         duty.value.decode("utf-8", "replace") if duty is not None else "",
-        duty.create if duty is not None else 0,
+        duty.create_revision if duty is not None else 0,
         members,
     )
 
 
-def _read_told(data: bytes) -> Told:
+def _read_told(data: bytes) -> MemberStatus:
     try:
-        return msgspec.json.decode(data, type=Told)
+        return msgspec.json.decode(data, type=MemberStatus)
     except (msgspec.DecodeError, msgspec.ValidationError):
-        return Told("", 0)
+        return MemberStatus("", 0)
--- a/stoatgw/maintenance/steward.py
+++ b/stoatgw/maintenance/rollout_planner.py
@@ -13,12 +13,12 @@
 
 from msgspec.structs import replace
 
-from stoatgw.config.maintenance import PROXY, Plan
-from stoatgw.maintenance.ledger import Ledger, State, Step
+from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.maintenance.rollout_state import RolloutState, RolloutStep, StepState
 
 
 @dataclass(frozen=True, slots=True)
-class Machine:
+class MachineStatus:
     """A session server as discovery tells it, or a proxy as the engine does."""
 
     zone: str
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Member:
+class ProxyMember:
     """A proxy at the engine: what it has out, and what of that has nobody of its own on it."""
 
     name: str
@@ -37,30 +37,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
+class FleetSnapshot:
     """What the holder sees now. `members` by identity, which is another for each process."""
 
-    machines: Mapping[str, Machine]
-    members: Mapping[str, Member]
+    machines: Mapping[str, MachineStatus]
+    members: Mapping[str, ProxyMember]
 
-    def find(self, name: str) -> Machine | None:
+    def find(self, name: str) -> MachineStatus | None:
         if not name.startswith(PROXY):
             return self.machines.get(name)
         named = [each for each in self.members.values() if PROXY + each.name == name]
-        return Machine("", True, max(each.start_ms for each in named)) if named else None
+        return MachineStatus("", True, max(each.start_ms for each in named)) if named else None
 
 
 @dataclass(frozen=True, slots=True)
-class Change:
+class RolloutChange:
     """A ledger to write, and what happened, for the log."""
 
-    ledger: Ledger
+    ledger: RolloutState
     event: str
     machine: str = ""
 
 
-class Steward:
-    def __init__(self, plan: Plan) -> None:
+class RolloutPlanner:
+    def __init__(self, plan: MaintenancePlan) -> None:
         self._plan = plan
         self._seen_us: dict[tuple[str, str], int] = {}
         self.blocked = ""  # why no step begins though machines are left
@@ -69,11 +69,11 @@
         """Since this was first seen to be so."""
         return (now_us - self._seen_us.setdefault((machine, what), now_us)) / 1e6
 
-    def next(self, ledger: Ledger, sight: Sight, now_us: int) -> Change | None:
+    def next(self, ledger: RolloutState, sight: FleetSnapshot, now_us: int) -> RolloutChange | None:
         """The next change, if one is due."""
         self.blocked = ""
         for name, step in ledger.steps.items():
-            if step.state is State.OUT:
+            if step.state is StepState.OUT:
                 if (change := self._go_on(ledger, name, step, sight, now_us)) is not None:
                     return change
             else:
@@ -82,24 +82,26 @@
             return None
         left = [name for name in self._plan.machines if name not in ledger.steps]
         if not left and not ledger.out():
-            return Change(replace(ledger, finished=True), "finished")
+            return RolloutChange(replace(ledger, finished=True), "finished")
         return self._begin(ledger, left, sight, now_us) if left else None
 
-    def _go_on(self, ledger: Ledger, name: str, step: Step, sight: Sight, now_us: int) -> Change | None:
+    def _go_on(
+        self, ledger: RolloutState, name: str, step: RolloutStep, sight: FleetSnapshot, now_us: int
+    ) -> RolloutChange | None:
         plan, age_s = self._plan, self._age_s(now_us, name, "out")
 
-        def end(state: State) -> Change:
-            return Change(ledger.with_step(name, replace(step, state=state)), f"step_{state.value}", name)
+        def end(state: StepState) -> RolloutChange:
+            return RolloutChange(ledger.with_step(name, replace(step, state=state)), f"step_{state.value}", name)
 
         if ledger.aborted:
-            return end(State.RELEASED)
+            return end(StepState.RELEASED)
         machine = sight.find(name)
         # A proxy's new process is not the one that was sent away: there is nothing left to wait for.
         by_start = plan.done == "restarted" or name.startswith(PROXY)
         if by_start and machine is not None and machine.up and machine.start_ms > step.start_ms:
-            return end(State.DONE)
+            return end(StepState.DONE)
         if age_s >= plan.step_s:
-            return end(State.LATE)
+            return end(StepState.LATE)
         concerned = self._concerned(name, sight)
         here = {each: sight.members[each] for each in concerned}
         if not step.empty and self._waits_for_lost(name, step, sight, now_us):
@@ -107,16 +109,16 @@
         if not step.told:
             if not all(name in each.told for each in here.values()):
                 return None
-            return Change(ledger.with_step(name, replace(step, told=True)), "step_told", name)
+            return RolloutChange(ledger.with_step(name, replace(step, told=True)), "step_told", name)
         if not step.empty:
             if not all(name in each.empty for each in here.values()):
                 return None
-            return Change(ledger.with_step(name, replace(step, empty=True)), "step_empty", name)
+            return RolloutChange(ledger.with_step(name, replace(step, empty=True)), "step_empty", name)
         if plan.done == "empty" and self._age_s(now_us, name, "empty") >= plan.rest_s:
-            return end(State.DONE)
+            return end(StepState.DONE)
         return None
 
-    def _waits_for_lost(self, name: str, step: Step, sight: Sight, now_us: int) -> bool:
+    def _waits_for_lost(self, name: str, step: RolloutStep, sight: FleetSnapshot, now_us: int) -> bool:
         """One that was at the engine when the step began and is lost is dead, or cut off and serves on: which, nobody
         can tell. It is taken for dead after a time in which one that knew has sent its clients away."""
         waits = False
@@ -127,13 +129,13 @@
                 waits |= self._age_s(now_us, name, identity) < self._plan.lapsed_s
         return waits
 
-    def _concerned(self, name: str, sight: Sight) -> list[str]:
+    def _concerned(self, name: str, sight: FleetSnapshot) -> list[str]:
         """A session server concerns all proxies, a proxy itself."""
         if not name.startswith(PROXY):
             return sorted(sight.members)
         return sorted(each for each, member in sight.members.items() if PROXY + member.name == name)
 
-    def _begin(self, ledger: Ledger, left: list[str], sight: Sight, now_us: int) -> Change | None:
+    def _begin(self, ledger: RolloutState, left: list[str], sight: FleetSnapshot, now_us: int) -> RolloutChange | None:
         plan = self._plan
         if len(sight.members) < plan.members_least:
             self.blocked = f"{len(sight.members)} proxies at the engine, under members_least"
@@ -158,15 +160,15 @@
                 return self._out(ledger, name, machine, sight)
         return None
 
-    def _away(self, ledger: Ledger, sight: Sight, now_us: int) -> set[str]:
+    def _away(self, ledger: RolloutState, sight: FleetSnapshot, now_us: int) -> set[str]:
         """All that serves nobody now: out by a step, just back and cold, or down by itself."""
         away = set(ledger.out())
         for name, step in ledger.steps.items():
-            if step.state is not State.OUT and self._age_s(now_us, name, "ended") < self._plan.settle_s:
+            if step.state is not StepState.OUT and self._age_s(now_us, name, "ended") < self._plan.settle_s:
                 away.add(name)
         return away | {name for name, machine in sight.machines.items() if not machine.up}
 
-    def _out(self, ledger: Ledger, name: str, machine: Machine, sight: Sight) -> Change:
+    def _out(self, ledger: RolloutState, name: str, machine: MachineStatus, sight: FleetSnapshot) -> RolloutChange:
         must = tuple(self._concerned(name, sight))
-        step = Step(state=State.OUT, token=0, at_ms=0, start_ms=machine.start_ms, must=must)
-        return Change(ledger.with_step(name, step), "step_out", name)
+        step = RolloutStep(state=StepState.OUT, token=0, at_ms=0, start_ms=machine.start_ms, must=must)
+        return RolloutChange(ledger.with_step(name, step), "step_out", name)
--- a/stoatgw/maintenance/service.py
+++ b/stoatgw/maintenance/service.py
@@ -8,29 +8,49 @@
 import time
 
 from stoatgw.clients.context import ProxyContext
+from stoatgw.clock import Clock
 from stoatgw.config.deployment import Deployment
-from stoatgw.config.maintenance import Plan
-from stoatgw.config.membership import Membership
-from stoatgw.director.director import Director
-from stoatgw.maintenance.agent import Agent
-from stoatgw.maintenance.hands import ProxyHands
-from stoatgw.membership.engine import make_engine
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.owner import Owner
-from stoatgw.suspension.outs import Outs
-from stoatgw.suspension.overlay import Overlay
+from stoatgw.config.maintenance import MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.controller.controller import Controller
+from stoatgw.discovery.client import DiscoveryClient
+from stoatgw.maintenance.controller import MaintenanceController
+from stoatgw.maintenance.proxy_actions import LocalProxyActions
+from stoatgw.membership.client import make_client
+from stoatgw.suspension.applier import SuspensionApplier
+from stoatgw.suspension.overrides import EndpointOverrides
 from stoatgw.telemetry.log import EventLog
 
 
-def make_agent(
-    membership: Membership, plan: Plan, deployment: Deployment, context: ProxyContext, owner: Owner, director: Director,
-    overlay: Overlay, clock: Clock, log: EventLog,
-) -> Agent:  # fmt: skip
+def make_maintenance_controller(
+    membership: MembershipConfig,
+    plan: MaintenancePlan,
+    deployment: Deployment,
+    context: ProxyContext,
+    owner: Controller,
+    director: DiscoveryClient,
+    overlay: EndpointOverrides,
+    clock: Clock,
+    log: EventLog,
+) -> MaintenanceController:
     """Raises ConfigError."""
-    engine = make_engine(membership, deployment.settings.rank)
-    hands = ProxyHands(deployment, context, owner, director, Outs(overlay, director, owner, clock, log), log)
-    return Agent(membership, plan, deployment.name, engine, hands, os.environ.get("TMPDIR"), monotonic_us,
-                 clock.now_us, log, random.Random(deployment.seed), secrets.token_hex(6))  # fmt: skip
+    engine = make_client(membership, deployment.settings.rank)
+    hands = LocalProxyActions(
+        deployment, context, owner, director, SuspensionApplier(overlay, director, owner, clock, log), log
+    )
+    return MaintenanceController(
+        membership,
+        plan,
+        deployment.name,
+        engine,
+        hands,
+        os.environ.get("TMPDIR"),
+        monotonic_us,
+        clock.now_us,
+        log,
+        random.Random(deployment.seed),
+        secrets.token_hex(6),
+    )
 
 
 def monotonic_us() -> int:
--- a/stoatgw/maintenance/record.py
+++ b/stoatgw/maintenance/state_file.py
@@ -4,19 +4,19 @@
 
 from pathlib import Path
 
-from stoatgw.kept import write
-from stoatgw.maintenance.ledger import BYTES_MOST, Ledger, LedgerError, decode, encode
+from stoatgw.atomic_file import write
+from stoatgw.maintenance.rollout_state import BYTES_MOST, RolloutState, RolloutStateError, decode, encode
 
 
-class RecordError(Exception):
+class RolloutStateFileError(Exception):
     """The file cannot be read or written; the message names it and says why."""
 
 
-class Record:
+class RolloutStateFile:
     def __init__(self, folder: Path, name: str) -> None:
         self._path = folder / f"stoatgw-maintenance-{name}"
 
-    def load(self) -> Ledger | None:
+    def load(self) -> RolloutState | None:
         """None without a file. Raises RecordError; the file is left as it is."""
         try:
             with self._path.open("rb") as file:
@@ -24,13 +24,13 @@
         except FileNotFoundError:
             return None
         except OSError as fault:
-            raise RecordError(f"{self._path.name}: cannot be read: {fault.strerror}") from None
-        except LedgerError as fault:
-            raise RecordError(f"{self._path.name}: {fault}") from None
+            raise RolloutStateFileError(f"{self._path.name}: cannot be read: {fault.strerror}") from None
+        except RolloutStateError as fault:
+            raise RolloutStateFileError(f"{self._path.name}: {fault}") from None
 
-    def save(self, ledger: Ledger) -> None:
+    def save(self, ledger: RolloutState) -> None:
         """Raises RecordError, with the file as it was."""
         try:
             write(self._path, encode(ledger))
         except OSError as fault:
-            raise RecordError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
+            raise RolloutStateFileError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
--- a/stoatgw/management/listener.py
+++ b/stoatgw/management/listener.py
@@ -8,8 +8,8 @@
 from typing import Protocol
 
 from stoatgw.config.deployment import Address
-from stoatgw.management.calls import Order, read_call
-from stoatgw.management.http import Answer, CallReader
+from stoatgw.management.http import HttpRequestParser, HttpResponse
+from stoatgw.management.routes import OperationRequest, parse_operation
 from stoatgw.sockets import calls
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
@@ -20,14 +20,14 @@
 BUFFER = 4096
 
 
-class Desk(Protocol):
+class ManagementApi(Protocol):
     """Carries calls out; no waiting on anything that a load could hold up."""
 
-    def take(self, order: Order) -> Answer: ...
+    def execute(self, order: OperationRequest) -> HttpResponse: ...
 
 
 class ManagementListener:
-    def __init__(self, desk: Desk, log: EventLog, counters: Counters) -> None:
+    def __init__(self, desk: ManagementApi, log: EventLog, counters: Counters) -> None:
         self._desk, self._log, self._counters = desk, log, counters
         self._sock: socket.socket | None = None
         self._callers: dict[asyncio.Task[None], socket.socket] = {}  # oldest first
@@ -61,7 +61,7 @@
         try:
             answer = await self._answer(sock)
             if answer is not None:
-                await calls.close_after(sock, answer.wire(), LINGER_S)
+                await calls.close_after(sock, answer.to_bytes(), LINGER_S)
         except OSError:
             pass  # the caller has gone
         except Exception as fault:  # a fault of one call must not end the address
@@ -69,8 +69,8 @@
         finally:
             calls.close(sock)
 
-    async def _answer(self, sock: socket.socket) -> Answer | None:
-        loop, reader = asyncio.get_running_loop(), CallReader()
+    async def _answer(self, sock: socket.socket) -> HttpResponse | None:
+        loop, reader = asyncio.get_running_loop(), HttpRequestParser()
         try:
             async with asyncio.timeout(PATIENCE_S):
                 while True:
@@ -82,14 +82,14 @@
                         break
         except TimeoutError:
             self._counters.add("management_callers_slow")
-            return Answer(408, "no: no whole call in time\n")
-        order = call if isinstance(call, Answer) else read_call(call)
-        if isinstance(order, Answer):
+            return HttpResponse(408, "no: no whole call in time\n")
+        order = call if isinstance(call, HttpResponse) else parse_operation(call)
+        if isinstance(order, HttpResponse):
             return order
         try:
-            answer = self._desk.take(order)
+            answer = self._desk.execute(order)
         except Exception as fault:  # never a yes before it binds
-            self._log.event("management_fault", deed=order.deed.value, error=repr(fault))
-            return Answer(500, "no: a fault, see the log\n")
+            self._log.event("management_fault", deed=order.operation.value, error=repr(fault))
+            return HttpResponse(500, "no: a fault, see the log\n")
         self._counters.add("management_calls")
         return answer
--- a/stoatgw/membership/engine.py
+++ b/stoatgw/membership/client.py
@@ -11,19 +11,19 @@
 import orjson
 
 from stoatgw.config.deployment import Address, read_address
-from stoatgw.config.membership import Membership
-from stoatgw.membership.words import Body
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.membership.etcd_api import Body
 from stoatgw.sockets import calls
 
 ANSWER_MOST = 1 << 20  # a ledger of thousands of machines is well under it; guards against a flood
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class CallFailure:
     """No answer that can be used. `sent`: the engine may have carried the call out all the same."""
 
-    why: str
-    sent: bool
+    reason: str
+    may_have_run: bool
 
 
 class _Answer:
@@ -52,13 +52,13 @@
             raise ValueError("an answer over the cap")
 
 
-class Caller(Protocol):
+class CoordinationStore(Protocol):
     """Who makes the calls: `Engine`, or what stands in for it."""
 
-    async def call(self, path: str, body: Body) -> Body | Fault: ...
+    async def call(self, path: str, body: Body) -> Body | CallFailure: ...
 
 
-class Engine:
+class CoordinationClient:
     """One call at a time and caller; a call ends within its deadline, however the engine behaves."""
 
     def __init__(self, endpoints: Sequence[Address], deadline_s: float, first: int = 0) -> None:
@@ -66,25 +66,25 @@
         self._endpoints, self._deadline_s = tuple(endpoints), deadline_s
         self._at = first % len(self._endpoints)
 
-    async def call(self, path: str, body: Body) -> Body | Fault:
+    async def call(self, path: str, body: Body) -> Body | CallFailure:
         """The answer's object. An endpoint that is not reached is passed over within the same deadline."""
-        fault = Fault("no endpoint", sent=False)
+        fault = CallFailure("no endpoint", may_have_run=False)
         try:
             async with asyncio.timeout(self._deadline_s) as limit:
                 for _ in self._endpoints:
                     answer = await self._ask(self._endpoints[self._at], path, orjson.dumps(body), limit)
-                    if not isinstance(answer, Fault):
+                    if not isinstance(answer, CallFailure):
                         return answer
                     self._at = (self._at + 1) % len(self._endpoints)
                     fault = answer
-                    if answer.sent:
+                    if answer.may_have_run:
                         break  # it may have been carried out: asked anew elsewhere it could be so twice
         except TimeoutError:
             self._at = (self._at + 1) % len(self._endpoints)
-            return Fault("no answer in time", sent=True)
+            return CallFailure("no answer in time", may_have_run=True)
         return fault
 
-    async def _ask(self, address: Address, path: str, body: bytes, limit: asyncio.Timeout) -> Body | Fault:
+    async def _ask(self, address: Address, path: str, body: bytes, limit: asyncio.Timeout) -> Body | CallFailure:
         loop, answer, sent, sock = asyncio.get_running_loop(), _Answer(), False, calls.make()
         head = (
             f"POST {path} HTTP/1.1\r\nHost: {address.host}:{address.port}\r\nContent-Type: application/json\r\n"
@@ -99,22 +99,24 @@
             while not answer.done and (data := await loop.sock_recv(sock, 65536)):
                 answer.feed(data)
             if not answer.done:
-                return Fault("the answer is cut off", sent=True)
+                return CallFailure("the answer is cut off", may_have_run=True)
             found: Any = orjson.loads(answer.body)
             if answer.status != 200 or not isinstance(found, dict):
                 why = found.get("message", "") if isinstance(found, dict) else ""
-                return Fault(f"status {answer.status} {str(why)[:100]}", sent=True)
+                return CallFailure(f"status {answer.status} {str(why)[:100]}", may_have_run=True)
             return found
         except TimeoutError:
             if limit.expired():
                 raise
-            return Fault("not reached in time", sent=False)
+            return CallFailure("not reached in time", may_have_run=False)
         except (OSError, ValueError) as error:
-            return Fault(repr(error)[:200], sent=sent)
+            return CallFailure(repr(error)[:200], may_have_run=sent)
         finally:
             calls.close(sock)
 
 
-def make_engine(told: Membership, first: int = 0) -> Engine:
+def make_client(told: MembershipConfig, first: int = 0) -> CoordinationClient:
     """Raises ConfigError."""
-    return Engine([read_address(each, "membership.engine") for each in told.engine], told.call_ms / 1000, first)
+    return CoordinationClient(
+        [read_address(each, "membership.engine") for each in told.engine], told.call_ms / 1000, first
+    )
--- a/stoatgw/membership/words.py
+++ b/stoatgw/membership/etcd_api.py
@@ -17,38 +17,38 @@
 RANGE, TXN = "/v3/kv/range", "/v3/kv/txn"
 
 
-class AnswerError(ValueError):
+class ResponseError(ValueError):
     """An answer cannot be read; the message names the field."""
 
 
 @dataclass(frozen=True, slots=True)
-class Pair:
+class KeyValue:
     """A key as the engine holds it. `create`, `change`: revisions of its making and its last change."""
 
     key: str
     value: bytes
-    create: int
-    change: int
+    create_revision: int
+    mod_revision: int
     lease: int
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class RangeSnapshot:
     """Keys at one revision of the whole store."""
 
     revision: int
-    pairs: tuple[Pair, ...] = ()
+    entries: tuple[KeyValue, ...] = ()
 
-    def get(self, key: str) -> Pair | None:
-        return next((pair for pair in self.pairs if pair.key == key), None)
+    def get(self, key: str) -> KeyValue | None:
+        return next((pair for pair in self.entries if pair.key == key), None)
 
 
 @dataclass(frozen=True, slots=True)
-class Committed:
+class TransactionResult:
     """A transaction's end: whether its comparisons held, and what its reads found."""
 
-    done: bool
-    view: View
+    succeeded: bool
+    snapshot: RangeSnapshot
 
 
 def pack(data: bytes) -> str:
@@ -59,7 +59,7 @@
     try:
         return base64.b64decode(text, validate=True)
     except (TypeError, ValueError, binascii.Error):
-        raise AnswerError(f"{field}: no base64") from None
+        raise ResponseError(f"{field}: no base64") from None
 
 
 def _number(data: Mapping[str, Any], field: str) -> int:
@@ -67,9 +67,9 @@
     try:
         number = int(value)
     except (TypeError, ValueError):
-        raise AnswerError(f"{field}: no number") from None
+        raise ResponseError(f"{field}: no number") from None
     if not 0 <= number < 2**63:
-        raise AnswerError(f"{field}: out of range")
+        raise ResponseError(f"{field}: out of range")
     return number
 
 
@@ -112,24 +112,24 @@
 
 def _object(data: Any, field: str) -> Body:
     if not isinstance(data, dict):
-        raise AnswerError(f"{field}: no object")
+        raise ResponseError(f"{field}: no object")
     return data
 
 
-def _pairs(data: Mapping[str, Any]) -> tuple[Pair, ...]:
+def _pairs(data: Mapping[str, Any]) -> tuple[KeyValue, ...]:
     found = data.get("kvs", [])
     if not isinstance(found, list):
-        raise AnswerError("kvs: no list")
+        raise ResponseError("kvs: no list")
     pairs = []
     for item in found:
         each = _object(item, "kvs")
         try:
             key = _unpack(each.get("key", ""), "key").decode()
         except UnicodeDecodeError:
-            raise AnswerError("key: not UTF-8") from None
+            raise ResponseError("key: not UTF-8") from None
         value = _unpack(each.get("value", ""), "value")
         create, change = _number(each, "create_revision"), _number(each, "mod_revision")
-        pairs.append(Pair(key, value, create, change, _number(each, "lease")))
+        pairs.append(KeyValue(key, value, create, change, _number(each, "lease")))
     return tuple(pairs)
 
 
@@ -141,7 +141,7 @@
     """The lease, and its term in seconds. Raises AnswerError."""
     lease, ttl_s = _number(data, "ID"), _number(data, "TTL")
     if not lease or not ttl_s:
-        raise AnswerError("ID or TTL: missing")
+        raise ResponseError("ID or TTL: missing")
     return lease, ttl_s
 
 
@@ -150,19 +150,19 @@
     return _number(_object(data.get("result", {}), "result"), "TTL")
 
 
-def read_range(data: Body) -> View:
+def read_range(data: Body) -> RangeSnapshot:
     """Raises AnswerError."""
-    return View(_revision(data), _pairs(data))
+    return RangeSnapshot(_revision(data), _pairs(data))
 
 
-def read_txn(data: Body) -> Committed:
+def read_txn(data: Body) -> TransactionResult:
     """Raises AnswerError."""
     done, answers = data.get("succeeded", False), data.get("responses", [])
     if not isinstance(done, bool) or not isinstance(answers, list):
-        raise AnswerError("succeeded or responses: of a wrong type")
-    pairs: tuple[Pair, ...] = ()
+        raise ResponseError("succeeded or responses: of a wrong type")
+    pairs: tuple[KeyValue, ...] = ()
     for item in answers:
         found = _object(item, "responses").get("response_range")
         if found is not None:
             pairs += _pairs(_object(found, "response_range"))
-    return Committed(done, View(_revision(data), pairs))
+    return TransactionResult(done, RangeSnapshot(_revision(data), pairs))
--- a/stoatgw/membership/fence.py
+++ b/stoatgw/membership/fencing.py
@@ -9,11 +9,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fence:
+class FencingGuard:
     highest: int = 0
 
-    def admit(self, token: int) -> tuple[Fence, bool]:
+    def admit(self, token: int) -> tuple[FencingGuard, bool]:
         """The fence after an act under a token, and whether the act takes effect."""
         if token <= 0 or token < self.highest:
             return self, False
-        return Fence(token), True
+        return FencingGuard(token), True
--- a/stoatgw/membership/claim.py
+++ b/stoatgw/membership/lease_state.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Ask(Enum):
+class LeaseCall(Enum):
     """A call to the engine."""
 
     ACQUIRE = "acquire"  # take the duty if nobody holds it
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class LeaseGranted:
     """ACQUIRE or RENEW was carried out: held under a token, for a term from its carrying out."""
 
     token: int
@@ -28,55 +28,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class LeaseFound:
     """LOOK has found the duty held by this very instance; for how much longer is not known."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
-class Refused:
+class LeaseDenied:
     """Somebody else holds it, or the token's time is over."""
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
+class LeaseOutcomeUnknown:
     """No answer came, or none that can be read."""
 
 
-Answer = Held | Found | Refused | Unknown
+LeaseResult = LeaseGranted | LeaseFound | LeaseDenied | LeaseOutcomeUnknown
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class LeaseState:
     """A value: each step gives the claim after it."""
 
     guard_us: int  # how much earlier than the engine it gives up; covers clocks that run apart within a term
     token: int = 0  # of the tenure it has, or had last; 0: none
-    until_us: int = 0  # it may act before this
-    asked: Ask | None = None  # the call that is out; one at a time
+    valid_until_us: int = 0  # it may act before this
+    pending_call: LeaseCall | None = None  # the call that is out; one at a time
     sent_us: int = 0
-    unsure: bool = False  # an acquire was not answered
+    is_uncertain: bool = False  # an acquire was not answered
 
-    def ask(self, now_us: int) -> tuple[Claim, Ask]:
+    def next_call(self, now_us: int) -> tuple[LeaseState, LeaseCall]:
         """The next call, sent now. One that was out is given up: its answer must not be handed in any more."""
-        due = Ask.LOOK if self.unsure or self.asked is Ask.ACQUIRE else Ask.RENEW if self.token else Ask.ACQUIRE
-        return replace(self, asked=due, sent_us=now_us, unsure=due is Ask.LOOK), due
-
-    def answered(self, answer: Answer) -> Claim:
+        due = (
+            LeaseCall.LOOK
+            if self.is_uncertain or self.pending_call is LeaseCall.ACQUIRE
+            else LeaseCall.RENEW
+            if self.token
+            else LeaseCall.ACQUIRE
+        )
+        return replace(self, pending_call=due, sent_us=now_us, is_uncertain=due is LeaseCall.LOOK), due
+
+    def record_result(self, answer: LeaseResult) -> LeaseState:
         """The call that is out has ended so."""
-        asked, done = self.asked, replace(self, asked=None)
+        asked, done = self.pending_call, replace(self, pending_call=None)
         match answer:
-            case Held(token, term_us) if asked is Ask.ACQUIRE or token == self.token:
-                return replace(done, token=token, until_us=self.sent_us + term_us - self.guard_us, unsure=False)
-            case Found(token) if asked is Ask.LOOK:
+            case LeaseGranted(token, term_us) if asked is LeaseCall.ACQUIRE or token == self.token:
+                return replace(
+                    done, token=token, valid_until_us=self.sent_us + term_us - self.guard_us, is_uncertain=False
+                )
+            case LeaseFound(token) if asked is LeaseCall.LOOK:
                 # Its term began at an unknown time: it must be renewed before it may act.
-                return replace(done, token=token, until_us=0, unsure=False)
-            case Unknown():
-                return replace(done, unsure=self.unsure or asked is Ask.ACQUIRE)
+                return replace(done, token=token, valid_until_us=0, is_uncertain=False)
+            case LeaseOutcomeUnknown():
+                return replace(done, is_uncertain=self.is_uncertain or asked is LeaseCall.ACQUIRE)
             case _:
-                return replace(done, token=0, until_us=0, unsure=False)
+                return replace(done, token=0, valid_until_us=0, is_uncertain=False)
 
-    def acts(self, now_us: int) -> int:
+    def valid_token(self, now_us: int) -> int:
         """The token to act under now, or 0. To be asked right before each act, never remembered."""
-        return self.token if now_us < self.until_us else 0
+        return self.token if now_us < self.valid_until_us else 0
--- a/stoatgw/rebalance/__init__.py
+++ b/stoatgw/rebalance/__init__.py
@@ -4,8 +4,8 @@
 under its cost. Where a moved client goes is left to the module, which admits it as it does any.
 """
 
-from stoatgw.rebalance.limits import Limits
-from stoatgw.rebalance.picture import Held, Picture, Planned, View
+from stoatgw.rebalance.limits import RebalanceLimits
 from stoatgw.rebalance.planner import Planner
+from stoatgw.rebalance.snapshot import FleetSnapshot, PlannedMigration, ServerSnapshot, SessionSnapshot
 
-__all__ = ["Held", "Limits", "Picture", "Planned", "Planner", "View"]
+__all__ = ["FleetSnapshot", "PlannedMigration", "Planner", "RebalanceLimits", "ServerSnapshot", "SessionSnapshot"]
--- a/stoatgw/rebalance/limits.py
+++ b/stoatgw/rebalance/limits.py
@@ -13,7 +13,7 @@
 Span = Annotated[int, msgspec.Meta(ge=100_000, le=3_600_000_000)]
 
 
-class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+class RebalanceLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Each setting with its unit; the defaults are what docs/results/ was measured with."""
 
     enabled: bool = False
--- a/stoatgw/rebalance/planner.py
+++ b/stoatgw/rebalance/planner.py
@@ -10,17 +10,17 @@
 import math
 import random
 
-from stoatgw.rebalance.limits import Limits
-from stoatgw.rebalance.picture import Held, Picture, Planned, View
+from stoatgw.rebalance.limits import RebalanceLimits
+from stoatgw.rebalance.snapshot import FleetSnapshot, PlannedMigration, ServerSnapshot, SessionSnapshot
 
 
 class Planner:
-    def __init__(self, limits: Limits, seed: int) -> None:
+    def __init__(self, limits: RebalanceLimits, seed: int) -> None:
         self._limits, self._random = limits, random.Random(seed)
         self._moved: dict[int | str, int] = {}  # clients moved lately, and when
         self._allowance = 0.0
 
-    def plan(self, picture: Picture) -> list[Planned]:
+    def plan(self, picture: FleetSnapshot) -> list[PlannedMigration]:
         """The moves of this step, in the order in which they are worth most. Same state and picture, same plan."""
         limits, now_us = self._limits, picture.now_us
         self._moved = {key: at for key, at in self._moved.items() if at > now_us - limits.again_us}
@@ -29,10 +29,10 @@
         step_s = limits.step_us / 1e6
         self._allowance = min(max(1.0, limits.rate * standing), self._allowance + limits.rate * standing * step_s)
         most = min(int(self._allowance), limits.under_way - back)
-        room = _Room(picture, limits)
+        room = _TargetCapacity(picture, limits)
         if most <= 0 or not room.targets:
             return []
-        moves: list[Planned] = []
+        moves: list[PlannedMigration] = []
         groups: dict[int, int] = {}
         for source in sorted(picture.servers, key=lambda view: (-view.load, view.name)):
             if len(moves) >= most or source.load <= limits.over:
@@ -43,7 +43,13 @@
         return moves
 
     def _off(
-        self, source: View, picture: Picture, room: _Room, groups: dict[int, int], moves: list[Planned], most: int
+        self,
+        source: ServerSnapshot,
+        picture: FleetSnapshot,
+        room: _TargetCapacity,
+        groups: dict[int, int],
+        moves: list[PlannedMigration],
+        most: int,
     ) -> None:
         """Moves off one server: our part of a part of its excess, rounded by chance."""
         limits = self._limits
@@ -74,11 +80,13 @@
             moves.append(found)
             count -= 1
 
-    def _judge(self, held: Held, source: View, room: _Room, sizes: dict[int | None, int]) -> Planned | None:
+    def _judge(
+        self, held: SessionSnapshot, source: ServerSnapshot, room: _TargetCapacity, sizes: dict[int | None, int]
+    ) -> PlannedMigration | None:
         """What moving one connection gains, with the group's price on both sides, and what it costs."""
         limits = self._limits
         frees = 1.0 if held.group is not None and sizes[held.group] == 1 else 0.0
-        best: tuple[float, View] | None = None
+        best: tuple[float, ServerSnapshot] | None = None
         for target in room.targets:
             if target.name == source.name:
                 continue
@@ -96,21 +104,21 @@
         itself = held.worth * (self._in_time(after) - self._in_time(source.load))
         gain = at_source - there + itself
         cost = held.worth * limits.cost_s / limits.horizon_s
-        return Planned(held.request, source.name, target.name, source.load, room.load(target), gain, cost)
+        return PlannedMigration(held.request, source.name, target.name, source.load, room.load(target), gain, cost)
 
     def _in_time(self, load: float) -> float:
         """Share of messages in time at a load, as the emulator's and the bench's servers have it."""
         return 1.0 - math.exp(-self._limits.sharpness * (1.0 - min(0.98, max(0.0, load))))
 
 
-def _client(held: Held) -> int | str:
+def _client(held: SessionSnapshot) -> int | str:
     return held.key if held.key is not None else held.request
 
 
-class _Room:
+class _TargetCapacity:
     """Where there is room, and how much of it this step has taken."""
 
-    def __init__(self, picture: Picture, limits: Limits) -> None:
+    def __init__(self, picture: FleetSnapshot, limits: RebalanceLimits) -> None:
         self._limits, self._added, self._taken = limits, dict[str, float](), dict[str, int]()
         good = [view for view in picture.servers if view.ready and view.age_us <= limits.fresh_us]
         total = sum(1.0 / max(1e-6, view.unit) for view in good)
@@ -121,13 +129,13 @@
         ]
         self._groups = {view.name: {held.group for held in view.mine} for view in self.targets}
 
-    def load(self, view: View) -> float:
+    def load(self, view: ServerSnapshot) -> float:
         return view.load + self._added.get(view.name, 0.0)
 
-    def groups(self, view: View) -> set[int | None]:
+    def groups(self, view: ServerSnapshot) -> set[int | None]:
         return self._groups[view.name]
 
-    def take(self, name: str, held: Held) -> bool:
+    def take(self, name: str, held: SessionSnapshot) -> bool:
         """Whether the target bears one more in this step: a cold one bears one, and none while one is on its way."""
         view = next(each for each in self.targets if each.name == name)
         most = self._limits.per_server if view.share >= 1.0 else int(view.under_way == 0)
--- a/stoatgw/rebalance/picture.py
+++ b/stoatgw/rebalance/snapshot.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class SessionSnapshot:
     """One of the proxy's own standing connections."""
 
     request: str
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class View:
+class ServerSnapshot:
     """One server, as the proxy believes it to be now."""
 
     name: str
@@ -29,18 +29,18 @@
     share: float  # part of its full capacity that it has by now: under 1 it is cold
     under_way: int  # own set-ups under way on it
     ready: bool  # listed as serving, not left out for failures, messages in time
-    mine: tuple[Held, ...] = ()
+    mine: tuple[SessionSnapshot, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Picture:
+class FleetSnapshot:
     now_us: int
-    servers: tuple[View, ...]
+    servers: tuple[ServerSnapshot, ...]
     balancers: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Planned:
+class PlannedMigration:
     """One move, with the figures that decided it."""
 
     request: str
--- a/stoatgw/sharing/board.py
+++ b/stoatgw/shared_health_checks/assignment.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Iterable, Mapping
 
-from stoatgw.config.sharing import Sharing
-from stoatgw.membership.assign import assign
+from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
+from stoatgw.membership.rendezvous import assign
 
 
-class Board:
-    def __init__(self, me: str, told: Sharing) -> None:
+class HealthCheckAssignment:
+    def __init__(self, me: str, told: SharedHealthChecksConfig) -> None:
         self._me = me
         self._period_us, self._stale_us = told.probe_ms * 1000, told.stale_ms * 1000
         self._seen: tuple[tuple[str, ...], tuple[str, ...]] = (), ()
--- a/stoatgw/sharing/agent.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -8,79 +8,87 @@
 
 import msgspec
 
-from stoatgw.config.membership import Membership
-from stoatgw.config.sharing import Sharing
-from stoatgw.decisions.interface import Status
-from stoatgw.membership import words
-from stoatgw.membership.engine import Caller, Fault
-from stoatgw.membership.holder import Holder
-from stoatgw.owner.messages import Inbox, Message, Probed
-from stoatgw.sharing.board import Board
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
+from stoatgw.controller.messages import HealthCheckCompleted, Message, MessageQueue
+from stoatgw.decisions.interface import AttemptStatus
+from stoatgw.membership import etcd_api
+from stoatgw.membership.client import CallFailure, CoordinationStore
+from stoatgw.membership.lease_holder import LeaseHolder
+from stoatgw.shared_health_checks.assignment import HealthCheckAssignment
 from stoatgw.telemetry.log import EventLog
 
 TICK_S = 0.05
 
 
-class Report(msgspec.Struct, frozen=True, array_like=True):
+class PublishedHealthCheck(msgspec.Struct, frozen=True, array_like=True):
     """A probe's result, as it is published. `age_ms`: when it was written; `number` tells it from the one before."""
 
     number: int
     age_ms: int
-    status: Status
+    status: AttemptStatus
     spent_us: int
     row: tuple[float | None, ...]
 
 
-Reports = dict[str, Report]
+Reports = dict[str, PublishedHealthCheck]
 
 
-class Agent:
+class SharedHealthChecker:
     """Also stands in the owner's place before the prober, so that results pass through it."""
 
     def __init__(
-        self, told: Membership, sharing: Sharing, identity: str, engine: Caller, inbox: Inbox,
-        probe: Callable[[str], None], servers: Callable[[], list[str]], now_us: Callable[[], int], log: EventLog,
+        self,
+        told: MembershipConfig,
+        sharing: SharedHealthChecksConfig,
+        identity: str,
+        engine: CoordinationStore,
+        inbox: MessageQueue,
+        probe: Callable[[str], None],
+        servers: Callable[[], list[str]],
+        now_us: Callable[[], int],
+        log: EventLog,
         draws: random.Random,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """`probe` begins a probe, whose result comes to `put`."""
         self._inbox, self._probe, self._servers, self._now_us, self._log = inbox, probe, servers, now_us, log
         self._engine, self._identity, self._draws = engine, identity, draws
         self._prefix = f"{told.scope}/sharing/"
-        self._place = Holder(engine, f"{self._prefix}members/{identity}", identity.encode(), told.lease_s, now_us)
-        self._board = Board(identity, sharing)
+        self._place = LeaseHolder(engine, f"{self._prefix}members/{identity}", identity.encode(), told.lease_s, now_us)
+        self._board = HealthCheckAssignment(identity, sharing)
         self._lease_us, self._pause_s = told.lease_s * 1_000_000, told.look_ms / 1000
         self._take_us = sharing.take_ms * 1000
-        self._found: dict[str, tuple[int, int, Probed]] = {}  # number, when, what
+        self._found: dict[str, tuple[int, int, HealthCheckCompleted]] = {}  # number, when, what
         self._taken: dict[tuple[str, str], int] = {}  # numbers of others' reports that were handed on
         self._changes: dict[str, int] = {}
         self._numbers, self._looked_us, self._heard_us = 0, 0, -(10**12)
         self._shares = False
 
     @property
-    def shares(self) -> bool:
+    def is_sharing(self) -> bool:
         """Whether probes are shared now; if not, each proxy goes by its own decisions."""
         return self._now_us() - self._heard_us < self._lease_us
 
     @property
-    def holds(self) -> list[str]:
+    def assigned_servers(self) -> list[str]:
         """The servers that are this proxy's to probe."""
         return [name for name, holder in self._board.holders.items() if holder == self._identity]
 
-    def put(self, message: Message) -> None:
+    def post(self, message: Message) -> None:
         """A message for the owner; the result of a probe is kept for the others as well."""
-        if isinstance(message, Probed):
+        if isinstance(message, HealthCheckCompleted):
             self._numbers += 1
             self._found[message.server] = self._numbers, self._now_us(), message
-        self._inbox.put(message)
+        self._inbox.post(message)
 
-    def wanted(self, server: str) -> None:
+    def request_health_check(self, server: str) -> None:
         """The decisions ask for a probe: made by us only while nobody shares."""
-        if not self.shares:
+        if not self.is_sharing:
             self._probe(server)
 
     def tick(self) -> None:
         """Probe what is due, while probes are shared."""
-        shares = self.shares
+        shares = self.is_sharing
         if shares != self._shares:
             self._shares = shares
             self._log.event("sharing_begins" if shares else "sharing_ends")
@@ -110,28 +118,30 @@
 
     async def look(self) -> None:
         """Publish what we found since the last look, and read what the others did: one call."""
-        if self._place.due:
+        if self._place.is_due:
             await self._place.step()
         token, before_us, now_us = self._place.token(), self._looked_us, self._now_us()
-        read = {"request_range": words.under(self._prefix)}
+        read = {"request_range": etcd_api.under(self._prefix)}
         # A proxy whose lease is over may not publish: the others have taken its servers over.
-        write = words.txn([words.made_at(self._place.key, token)], [self._write(now_us), read], [read])
-        answer = await self._engine.call(words.TXN, write) if token else Fault("no place yet", sent=False)
-        if isinstance(answer, Fault):
+        write = etcd_api.txn([etcd_api.made_at(self._place.key, token)], [self._write(now_us), read], [read])
+        answer = (
+            await self._engine.call(etcd_api.TXN, write) if token else CallFailure("no place yet", may_have_run=False)
+        )
+        if isinstance(answer, CallFailure):
             return
-        view = words.read_txn(answer).view
+        view = etcd_api.read_txn(answer).snapshot
         self._looked_us = now_us
-        members = [each for key in (pair.key for pair in view.pairs) if (each := self._of(key, "members/"))]
+        members = [each for key in (pair.key for pair in view.entries) if (each := self._of(key, "members/"))]
         if self._identity not in members:
             return  # our own place was not there: what we read may be stale, or our lease is over
         self._heard_us = self._now_us()
         if now_us - before_us > 3e6 * self._pause_s:
             self._board.anew(now_us)
         self._board.assign(self._servers(), members, self._now_us())
-        for pair in view.pairs:
+        for pair in view.entries:
             other = self._of(pair.key, "reports/")
-            if other and other != self._identity and pair.change != self._changes.get(other):
-                self._changes[other] = pair.change
+            if other and other != self._identity and pair.mod_revision != self._changes.get(other):
+                self._changes[other] = pair.mod_revision
                 # It was written after the last look began: so much may have been added to its age since.
                 self._hand_on(other, pair.value, now_us - before_us if before_us else self._take_us + 1)
         gone = self._changes.keys() - set(members)
@@ -144,16 +154,16 @@
         start = self._prefix + kind
         return key.removeprefix(start) if key.startswith(start) else ""
 
-    def _write(self, now_us: int) -> words.Body:
+    def _write(self, now_us: int) -> etcd_api.Body:
         listed = set(self._servers())
         self._found = {name: each for name, each in self._found.items() if name in listed}
         reports = {
-            name: Report(number, (now_us - at_us) // 1000, said.status, said.spent_us, said.report)
+            name: PublishedHealthCheck(number, (now_us - at_us) // 1000, said.status, said.elapsed_us, said.load_report)
             for name, (number, at_us, said) in self._found.items()
             if now_us - at_us <= self._take_us
         }
         key = f"{self._prefix}reports/{self._identity}"
-        return words.put(key, msgspec.json.encode(reports), self._place.lease)
+        return etcd_api.put(key, msgspec.json.encode(reports), self._place.lease)
 
     def _hand_on(self, other: str, data: bytes, since_us: int) -> None:
         try:
@@ -168,4 +178,4 @@
             age_us = report.age_ms * 1000 + since_us
             self._board.heard(server, now_us - age_us, other)
             if age_us <= self._take_us:
-                self._inbox.put(Probed(server, report.status, report.spent_us, report.row))
+                self._inbox.post(HealthCheckCompleted(server, report.status, report.spent_us, report.row))
--- a/stoatgw/simwire/codec.py
+++ b/stoatgw/simulator_wire/codec.py
@@ -10,36 +10,36 @@
 from stoatgw.config.settings import read_settings
 from stoatgw.decisions.interface import (
     Action,
-    Begun,
+    AttemptEstablished,
+    AttemptOutcome,
+    AttemptStatus,
     Cancel,
-    ClientGone,
+    CheckHealth,
+    ClientDisconnected,
     CloseIdle,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
-    Existing,
     Fail,
-    FetchList,
+    FetchEndpoints,
+    Gossip,
+    HealthCheckResult,
     Lifecycle,
-    ListKind,
-    ListUpdate,
     Log,
-    Move,
-    Note,
-    NoteKind,
-    Outcome,
+    Migrate,
     PeerMessage,
-    Probe,
-    ProbeResult,
-    Refuse,
+    Reject,
     Request,
     Send,
-    ServerEntry,
+    SessionMetric,
+    SessionMetricKind,
+    SessionRestored,
     SetTimer,
     Settings,
     SettingsError,
-    Status,
     Subscribe,
-    Tell,
-    TimerDue,
+    TimerExpired,
 )
 
 T = TypeVar("T")
@@ -87,9 +87,7 @@
         self.number = number
         self.at = 1
         if count is not None and len(self.parts) - 1 != count:
-            raise WireError(
-                f"line {number}: {self.parts[0]} has {len(self.parts) - 1} fields where {count} belong"
-            )
+            raise WireError(f"line {number}: {self.parts[0]} has {len(self.parts) - 1} fields where {count} belong")
 
     def error(self, field: str, text: str) -> WireError:
         return WireError(f"line {self.number}: {self.parts[0]}: field {field}: {text}")
@@ -157,9 +155,9 @@
     """Reads the lines between TURN and GO; keeps the numbered server lists of the process."""
 
     def __init__(self) -> None:
-        self._pages: dict[int, tuple[ServerEntry, ...]] = {}
+        self._pages: dict[int, tuple[Endpoint, ...]] = {}
         self._page = 0
-        self._entries: list[ServerEntry] = []
+        self._entries: list[Endpoint] = []
         self._rows_due = 0
 
     def turn(self, line: str, number: int) -> int:
@@ -202,7 +200,7 @@
         start_us = f.integer("last_start_us", 0)
         cell = f.integer("cell", 0)
         zone = f.integer("zone", 0)
-        self._entries.append(ServerEntry(server, lifecycle, zone, cell, kind, weight, start_us))
+        self._entries.append(Endpoint(server, lifecycle, zone, cell, kind, weight, start_us))
         self._rows_due -= 1
         self._close_page()
 
@@ -227,13 +225,13 @@
         return Stop(f.integer("i"))
 
     def _list(self, f: _Fields) -> Delivery:
-        instance, kind = f.integer("i"), f.enum("kind", ListKind)
+        instance, kind = f.integer("i"), f.enum("kind", EndpointUpdateKind)
         version, page = f.integer("seq_no", 0), f.integer("page", -1)
-        if kind is ListKind.ERROR:
-            return Delivery(instance, ListUpdate(kind, version))
+        if kind is EndpointUpdateKind.ERROR:
+            return Delivery(instance, EndpointUpdate(kind, version))
         if page not in self._pages:
             raise f.error("page", f"no POOL has number {page}")
-        return Delivery(instance, ListUpdate(kind, version, self._pages[page]))
+        return Delivery(instance, EndpointUpdate(kind, version, self._pages[page]))
 
     def _request(self, f: _Fields) -> Delivery:
         instance, request = f.integer("i"), f.text("corr")
@@ -249,7 +247,7 @@
         left_us, hint = f.integer("patience_left_us", 0), f.optional_integer("predicted_us")
         group, flags = f.optional_integer("team_id"), f.integer("options", 0)
         asked = self._asked(request, profile, left_us, tenant, key, group, hint, flags)
-        return Delivery(instance, Existing(asked, f.text("server")))
+        return Delivery(instance, SessionRestored(asked, f.text("server")))
 
     @staticmethod
     def _asked(
@@ -263,44 +261,44 @@
         flags: int,
     ) -> Request:
         return Request(
-            request=request,
-            profile=profile,
-            patience_left_us=left_us,
+            request_id=request,
+            request_class=profile,
+            time_left_us=left_us,
             tenant=tenant,
-            key=key,
+            idempotency_key=key,
             group=group,
             hint_us=hint_us,
             hint_valid=bool(flags & HINT_VALID),
-            client_retry=bool(flags & CLIENT_RETRY),
-            mid_flow=bool(flags & MID_FLOW),
-            returned=bool(flags & RETURNED),
+            is_client_retry=bool(flags & CLIENT_RETRY),
+            is_mid_flow=bool(flags & MID_FLOW),
+            is_returning=bool(flags & RETURNED),
         )
 
     def _begun(self, f: _Fields) -> Delivery:
         instance, request, spent_us = f.integer("i"), f.text("corr"), f.integer("spent_us", 0)
-        return Delivery(instance, Begun(request, f.integer("go"), f.text("server"), spent_us))
+        return Delivery(instance, AttemptEstablished(request, f.integer("go"), f.text("server"), spent_us))
 
     def _note(self, f: _Fields) -> Delivery | None:
         instance, request, attempt = f.integer("i"), f.text("corr"), f.integer("go")
         server, topic, value = f.text("server"), f.integer("topic"), f.number_value("x")
-        kind = {1: NoteKind.LOAD, 2: NoteKind.DELAY}.get(topic)
-        return None if kind is None else Delivery(instance, Note(request, attempt, server, kind, value))
+        kind = {1: SessionMetricKind.LOAD, 2: SessionMetricKind.DELAY}.get(topic)
+        return None if kind is None else Delivery(instance, SessionMetric(request, attempt, server, kind, value))
 
     def _outcome(self, f: _Fields) -> Delivery:
         instance, request, attempt = f.integer("i"), f.text("corr"), f.integer("go")
-        server, status = f.text("server"), f.enum("outcome", Status)
+        server, status = f.text("server"), f.enum("outcome", AttemptStatus)
         spent_us, final, report = f.integer("spent_us", 0), f.flag("final"), f.row("load")
-        return Delivery(instance, Outcome(request, attempt, server, status, spent_us, final, report))
+        return Delivery(instance, AttemptOutcome(request, attempt, server, status, spent_us, final, report))
 
     def _gone(self, f: _Fields) -> Delivery:
-        return Delivery(f.integer("i"), ClientGone(f.text("corr")))
+        return Delivery(f.integer("i"), ClientDisconnected(f.text("corr")))
 
     def _due(self, f: _Fields) -> Delivery:
-        return Delivery(f.integer("i"), TimerDue(f.integer("ref")))
+        return Delivery(f.integer("i"), TimerExpired(f.integer("ref")))
 
     def _probed(self, f: _Fields) -> Delivery:
-        instance, server, status = f.integer("i"), f.text("server"), f.enum("outcome", Status)
-        return Delivery(instance, ProbeResult(server, status, f.integer("spent_us", 0), f.row("load")))
+        instance, server, status = f.integer("i"), f.text("server"), f.enum("outcome", AttemptStatus)
+        return Delivery(instance, HealthCheckResult(server, status, f.integer("spent_us", 0), f.row("load")))
 
     def _peer(self, f: _Fields) -> Delivery:
         return Delivery(f.integer("i"), PeerMessage(f.integer("sender"), f.payload("payload")))
@@ -331,23 +329,23 @@
             return f"TRANSMIT\t{instance}\t{request}\t{server}\t{cut_at_us}"
         case Cancel(request, attempt):
             return f"CANCEL\t{instance}\t{request}\t{attempt}"
-        case Refuse(request, retry_after_us):
+        case Reject(request, retry_after_us):
             return f"SHED\t{instance}\t{request}\t{retry_after_us}"
         case Fail(request):
             return f"LOSE\t{instance}\t{request}"
-        case Move(request):
+        case Migrate(request):
             return f"EVICT\t{instance}\t{request}"
         case Subscribe(want):
             return f"KEEP_INFORMED\t{instance}\t{int(want)}"
-        case FetchList():
+        case FetchEndpoints():
             return f"GET_LIST\t{instance}"
         case SetTimer(at_us, token):
             return f"WAKE_ME\t{instance}\t{at_us}\t{token}"
-        case Probe(server):
+        case CheckHealth(server):
             return f"HEALTH_CHECK\t{instance}\t{server}"
         case CloseIdle(server):
             return f"CLOSE_IDLE\t{instance}\t{server}"
-        case Tell(peer, payload):
+        case Gossip(peer, payload):
             whom = "*" if peer is None else str(peer)
             return f"TELL\t{instance}\t{whom}\t{payload.hex() or '-'}"
         case Log(message):
--- a/stoatgw/simwire/host.py
+++ b/stoatgw/simulator_wire/host.py
@@ -8,7 +8,7 @@
 from typing import TextIO
 
 from stoatgw.decisions.balancer import Balancer
-from stoatgw.simwire.codec import Decoder, Start, Stop, WireError, encode, encode_crash
+from stoatgw.simulator_wire.codec import Decoder, Start, Stop, WireError, encode, encode_crash
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
--- a/stoatgw/suspension/overlay.py
+++ b/stoatgw/suspension/overrides.py
@@ -5,28 +5,28 @@
 from collections.abc import Mapping
 from dataclasses import replace
 
-from stoatgw.decisions.interface import Lifecycle, ServerEntry
+from stoatgw.decisions.interface import Endpoint, Lifecycle
 
-Bans = Mapping[str, int]  # session servers out by hand, and since when (us of Unix time)
+Suspensions = Mapping[str, int]  # session servers out by hand, and since when (us of Unix time)
 
 
 BY_HAND, PLANNED = "hand", "maintenance"  # who has a server out; one that both have out comes back with the last
 
 
-class Overlay:
+class EndpointOverrides:
     def __init__(self) -> None:
         self._by: dict[str, dict[str, int]] = {}
         self._bans: dict[str, int] = {}
         self._back: dict[str, tuple[int, int]] = {}  # called back: banned since, back since
 
     @property
-    def bans(self) -> Bans:
+    def suspensions(self) -> Suspensions:
         return self._bans
 
-    def bans_of(self, source: str) -> Bans:
+    def suspensions_from(self, source: str) -> Suspensions:
         return self._by.get(source, {})
 
-    def take(self, bans: Bans, now_us: int, source: str = BY_HAND) -> tuple[list[str], list[str]]:
+    def replace(self, bans: Suspensions, now_us: int, source: str = BY_HAND) -> tuple[list[str], list[str]]:
         """The bans of a source from now on; gives those newly out, and those called back."""
         self._by[source] = dict(bans)
         every = [pair for each in self._by.values() for pair in each.items()]
@@ -40,14 +40,14 @@
         self._bans = dict(bans)
         return out, back
 
-    def lay(self, entry: ServerEntry) -> ServerEntry:
+    def apply(self, entry: Endpoint) -> Endpoint:
         """An entry of the list as the module is to see it."""
-        name = entry.server
+        name = entry.name
         if name in self._bans:
-            return entry if entry.lifecycle is not Lifecycle.ON else replace(entry, lifecycle=Lifecycle.FADING)
+            return entry if entry.lifecycle is not Lifecycle.ACTIVE else replace(entry, lifecycle=Lifecycle.DRAINING)
         since_us, back_us = self._back.get(name, (0, 0))
-        if back_us and entry.last_start_us < since_us:
+        if back_us and entry.started_us < since_us:
             # Staff restart a server while it is out, and the list may tell of that late: until it does, the
             # server counts as started when it was called back, and is filled no faster than a cold one.
-            return replace(entry, last_start_us=back_us)
+            return replace(entry, started_us=back_us)
         return entry
--- a/stoatgw/suspension/store.py
+++ b/stoatgw/suspension/store.py
@@ -8,19 +8,19 @@
 
 import orjson
 
-from stoatgw.kept import frame, unframe, write
-from stoatgw.suspension.overlay import Bans
+from stoatgw.atomic_file import frame, unframe, write
+from stoatgw.suspension.overrides import Suspensions
 
 NAME = "stoatgw-suspended"
 HEAD = b"stoatgw-suspended 1 "  # its version; the checksum of the rest follows
 SIZE_MOST = 1 << 20
 
 
-class StoreError(Exception):
+class SuspensionStoreError(Exception):
     """The file cannot be read or written; the message names it and says why."""
 
 
-def encode(bans: Bans) -> bytes:
+def encode(bans: Suspensions) -> bytes:
     body = orjson.dumps(dict(bans), option=orjson.OPT_SORT_KEYS)
     return frame(HEAD, body)
 
@@ -33,7 +33,7 @@
     return bans
 
 
-class Store:
+class SuspensionStore:
     def __init__(self, folder: Path) -> None:
         self._path, self._lock = folder / NAME, folder / f"{NAME}.lock"
 
@@ -53,16 +53,16 @@
         except FileNotFoundError:
             return {}
         except OSError as fault:
-            raise StoreError(f"{self._path.name}: cannot be read: {fault.strerror}") from None
+            raise SuspensionStoreError(f"{self._path.name}: cannot be read: {fault.strerror}") from None
         except ValueError as fault:
-            raise StoreError(f"{self._path.name}: {fault}") from None
+            raise SuspensionStoreError(f"{self._path.name}: {fault}") from None
 
     def change(self, name: str, since_us: int | None) -> dict[str, int]:
         """Ban a server since then, or (None) no longer; gives all bans. Raises StoreError, with nothing changed."""
         try:
             lock = os.open(self._lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as fault:
-            raise StoreError(f"{self._lock.name}: {fault.strerror}") from None
+            raise SuspensionStoreError(f"{self._lock.name}: {fault.strerror}") from None
         try:
             # Another process of this proxy may change it as well; each holds the lock for one small write.
             fcntl.flock(lock, fcntl.LOCK_EX)
@@ -80,4 +80,4 @@
         try:
             write(self._path, data)
         except OSError as fault:
-            raise StoreError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
+            raise SuspensionStoreError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
--- a/stoatgw/telemetry/figures.py
+++ b/stoatgw/telemetry/metrics.py
@@ -9,7 +9,7 @@
 from enum import Enum
 
 
-class Verdict(Enum):
+class RequestOutcome(Enum):
     """How a request was answered."""
 
     SUCCESS = "success"
@@ -17,14 +17,14 @@
     ERROR = "error"
 
 
-class Figures:
+class RequestMetrics:
     def __init__(self, classes: Iterable[str]) -> None:
         # Every class from the first reading on: 0 is a figure, a missing line is none.
-        self._answers = {verdict: dict.fromkeys(classes, 0) for verdict in Verdict}
+        self._answers = {verdict: dict.fromkeys(classes, 0) for verdict in RequestOutcome}
         self.dispatches = 0  # attempts written whole to session servers
-        self.concurrent = 0  # requests taken whose connection has not ended
+        self.open_requests = 0  # requests taken whose connection has not ended
 
-    def answered(self, name: str, verdict: Verdict) -> None:
+    def record_outcome(self, name: str, verdict: RequestOutcome) -> None:
         if name in self._answers[verdict]:
             self._answers[verdict][name] += 1
 
@@ -37,7 +37,7 @@
         ]
         lines += [
             f"proxy.dispatches:{self.dispatches}|c",
-            f"proxy.concurrent:{self.concurrent}|g",
+            f"proxy.concurrent:{self.open_requests}|g",
             f"proxy.targets:{targets}|g",
             f"proxy.targets_disabled:{disabled}|g",
         ]
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,23 +7,23 @@
 from stoatgw.decisions.balancer import Balancer
 from stoatgw.decisions.interface import (
     Action,
-    Begun,
+    AttemptEstablished,
+    AttemptOutcome,
+    AttemptStatus,
+    CheckHealth,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Event,
+    HealthCheckResult,
     Lifecycle,
-    ListKind,
-    ListUpdate,
-    Note,
-    NoteKind,
-    Outcome,
-    Probe,
-    ProbeResult,
-    Profile,
     Request,
+    RequestClass,
     Send,
-    ServerEntry,
+    SessionMetric,
+    SessionMetricKind,
     Settings,
-    Status,
-    TimerDue,
+    TimerExpired,
 )
 
 A = TypeVar("A", bound=Action)
@@ -35,8 +35,8 @@
     """Settings of a plain deployment, with changes."""
     base: dict[str, Any] = {
         "profiles": (
-            Profile(on_time_us=300_000, deadline_us=2 * SECOND, worth=5.0, message_aim_us=100_000),
-            Profile(on_time_us=300_000, deadline_us=2 * SECOND, worth=1.0, message_aim_us=60_000),
+            RequestClass(on_time_us=300_000, deadline_us=2 * SECOND, worth=5.0, message_aim_us=100_000),
+            RequestClass(on_time_us=300_000, deadline_us=2 * SECOND, worth=1.0, message_aim_us=60_000),
         ),
         "max_attempts": 4,
         "can_probe": True,
@@ -63,28 +63,28 @@
         self.balancer = Balancer(config or settings(), seed)
         self.now_us = T0
         self.asked = 0
-        self.told: dict[str, ProbeResult] = {}  # what each server last said, and says again when it is probed
+        self.told: dict[str, HealthCheckResult] = {}  # what each server last said, and says again when it is probed
         self.actions = self.balancer.start(self.now_us)
 
     def event(self, event: Event) -> list[Action]:
         self.actions = self.balancer.handle(event, self.now_us)
-        if isinstance(event, ProbeResult):
+        if isinstance(event, HealthCheckResult):
             self.told[event.server] = event
         return self.actions
 
-    def servers(self, *entries: ServerEntry, kind: ListKind = ListKind.SNAPSHOT) -> list[Action]:
-        return self.event(ListUpdate(kind, 1, entries))
+    def servers(self, *entries: Endpoint, kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT) -> list[Action]:
+        return self.event(EndpointUpdate(kind, 1, entries))
 
     def fleet(self, **zones: int) -> None:
         """A list of settled servers by name and zone."""
-        self.servers(*(ServerEntry(name, zone=zone) for name, zone in zones.items()))
+        self.servers(*(Endpoint(name, zone=zone) for name, zone in zones.items()))
 
     def report(self, server: str, load: float | None, count: float | None) -> list[Action]:
-        return self.event(ProbeResult(server, Status.DELIVERED, 1_000, (load, count)))
+        return self.event(HealthCheckResult(server, AttemptStatus.DELIVERED, 1_000, (load, count)))
 
     def period(self, seconds: float = 1.0) -> list[Action]:
         self.now_us += int(seconds * SECOND)
-        return self.event(TimerDue(0))
+        return self.event(TimerExpired(0))
 
     def ask(self, profile: int = 0, **fields: Any) -> list[Action]:
         self.asked += 1
@@ -97,24 +97,24 @@
         done: list[Action] = []
         while actions:
             done += actions
-            probes = [action.server for action in actions if isinstance(action, Probe)]
+            probes = [action.server for action in actions if isinstance(action, CheckHealth)]
             actions = []
             for server in probes:
-                silent = ProbeResult(server, Status.EXPIRED, 500_000, ())
+                silent = HealthCheckResult(server, AttemptStatus.EXPIRED, 500_000, ())
                 actions += self.balancer.handle(self.told.get(server, silent), self.now_us)
         self.actions = done
         return done
 
     def begin(self, request: str, server: str, attempt: int = 0) -> list[Action]:
-        return self.event(Begun(request, attempt, server, 10_000))
+        return self.event(AttemptEstablished(request, attempt, server, 10_000))
 
     def ended(
-        self, request: str, server: str, status: Status, final: bool = False, attempt: int = 0
+        self, request: str, server: str, status: AttemptStatus, final: bool = False, attempt: int = 0
     ) -> list[Action]:
-        return self.event(Outcome(request, attempt, server, status, 10_000, final))
+        return self.event(AttemptOutcome(request, attempt, server, status, 10_000, final))
 
     def late(self, request: str, server: str, delay_ms: float) -> list[Action]:
-        return self.event(Note(request, 0, server, NoteKind.DELAY, delay_ms))
+        return self.event(SessionMetric(request, 0, server, SessionMetricKind.DELAY, delay_ms))
 
     def of(self, kind: type[A]) -> list[A]:
         return [action for action in self.actions if isinstance(action, kind)]
@@ -124,5 +124,5 @@
         return sends[0].server if sends else None
 
 
-def drain(name: str, zone: int = 0) -> ServerEntry:
-    return ServerEntry(name, Lifecycle.FADING, zone)
+def drain(name: str, zone: int = 0) -> Endpoint:
+    return Endpoint(name, Lifecycle.DRAINING, zone)
