--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -5,20 +5,20 @@
 import pytest
 
 from stoatgw.decisions.interface import (
-    ClientGone,
-    Existing,
-    ListKind,
-    ListUpdate,
+    AttemptStatus,
+    CheckHealth,
+    ClientDisconnected,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    HealthCheckResult,
     Log,
-    Move,
-    Probe,
-    ProbeResult,
-    Refuse,
+    Migrate,
+    Reject,
     Request,
     Send,
-    ServerEntry,
-    Status,
-    TimerDue,
+    SessionRestored,
+    TimerExpired,
 )
 from tests.fleet import SECOND, T0, Stand, drain, settings
 
@@ -73,7 +73,7 @@
         stand.ask(tenant=0)
         assert stand.sent_to() == "a"
     stand.ask(tenant=0)
-    assert stand.of(Refuse)
+    assert stand.of(Reject)
     stand.ask(tenant=1)
     assert stand.sent_to() == "a"
 
@@ -86,7 +86,7 @@
     for _ in range(3):
         stand.ask(tenant=0)
     stand.report("a", 0.02 * held, held)  # ours are all, or a quarter, of what is there
-    stand.event(TimerDue(0))
+    stand.event(TimerExpired(0))
     stand.now_us += SECOND
     stand.report("a", 0.66, 33)  # with one more 0.68: under the margin, over that of low worth
     stand.ask(tenant=0)
@@ -106,7 +106,7 @@
     stand.report("near", 0.90, 45)
     stand.report("far", 0.90, 45)
     stand.ask()
-    assert stand.of(Refuse) and stand.sent_to() is None
+    assert stand.of(Reject) and stand.sent_to() is None
 
 
 def test_without_any_sample_the_own_zone_server_with_fewest_connections() -> None:
@@ -139,11 +139,11 @@
         assert stand.sent_to() == "a"
         stand.begin(f"{stand.asked:016x}", "a")
     stand.ask()  # 0.02 * (18 + 21 + 1) = 0.8
-    assert stand.of(Refuse)
+    assert stand.of(Reject)
     stand.now_us += SECOND // 2
     stand.report("a", 0.36, 18)  # too soon: this report cannot show the burst yet
     stand.ask()
-    assert stand.of(Refuse)
+    assert stand.of(Reject)
     stand.now_us += SECOND // 4
     stand.report("a", 0.36, 18)
     stand.ask()
@@ -156,7 +156,7 @@
     stand.fleet(a=0)
     stand.report("a", 0.36, 18)
     admitted = 0
-    while not stand.of(Refuse):
+    while not stand.of(Reject):
         stand.ask()
         admitted += 1
     assert admitted - 1 == 7  # 0.02 * (18 + 3 * 7 + 1) = 0.8
@@ -169,8 +169,8 @@
     stand.ask(request="f" * 16)
     assert stand.sent_to() == "a"
     stand.ask()
-    assert stand.of(Refuse)
-    stand.ended("f" * 16, "a", Status.REVOKED)
+    assert stand.of(Reject)
+    stand.ended("f" * 16, "a", AttemptStatus.REVOKED)
     stand.ask()
     assert stand.sent_to() == "a"
 
@@ -188,7 +188,7 @@
     stand.ask(hint_us=60_000, hint_valid=True)  # 60,000 over a mean of 17,500: 0.02 * 38.4 passes
     assert stand.sent_to() is not None
     stand.ask(hint_us=10**11, hint_valid=True)  # beyond belief: counted as 8 at most, not admitted
-    assert stand.of(Refuse)
+    assert stand.of(Reject)
     stand.period(3)
     stand.report("a", 0.60, 30)
     stand.ask(hint_us=60_000, hint_valid=True)  # and the mean has not run away with it
@@ -233,11 +233,11 @@
         assert stand.sent_to() == "a"
         stand.begin(f"{index:016x}", "a")
     stand.late("0" * 16, "a", 50.0)  # on time for its class: nobody is moved
-    assert not stand.of(Move)
+    assert not stand.of(Migrate)
     stand.report("b", 0.10, 10)
     stand.late("0" * 16, "a", 400.0)
-    assert len(stand.of(Move)) in (1, 2)
-    assert {int(move.request, 16) % 2 for move in stand.of(Move)} == {1}  # worth least per work
+    assert len(stand.of(Migrate)) in (1, 2)
+    assert {int(move.request_id, 16) % 2 for move in stand.of(Migrate)} == {1}  # worth least per work
 
 
 def test_relief_leaves_all_alone_where_nobody_has_room() -> None:
@@ -249,12 +249,12 @@
     stand.begin("1" * 16, "a")
     stand.report("b", 0.90, 45)
     stand.late("1" * 16, "a", 400.0)
-    assert not stand.of(Move)
+    assert not stand.of(Migrate)
     stand.report("a", 1.40, 30)  # over the margin: those worth least leave even so
     moves = 0
     for _ in range(60):  # a tenth of one connection: left to chance
         stand.late("1" * 16, "a", 400.0)
-        moves += len(stand.of(Move))
+        moves += len(stand.of(Migrate))
     assert moves == 1
 
 
@@ -287,7 +287,7 @@
         stand.period()
         stand.report("a", 2.5, 40)
     stand.ask()
-    assert stand.of(Refuse)  # the reported load alone closes it
+    assert stand.of(Reject)  # the reported load alone closes it
     stand.report("a", 0.50, 50)
     stand.ask()
     assert stand.sent_to() == "a"
@@ -328,7 +328,7 @@
     stand.report("b", 0.40, 20)
     stand.report("c", 0.40, 20)
     stand.ask(request="1" * 16)
-    stand.ended("1" * 16, "a", Status.EXPIRED)
+    stand.ended("1" * 16, "a", AttemptStatus.EXPIRED)
     assert stand.sent_to() in ("b", "c")  # the one further try
     stand.ask()
     assert stand.sent_to() != "a"
@@ -336,7 +336,7 @@
     stand.balancer._own.window = 200.0  # the window for set-ups has a test of its own
     stand.ask(request="2" * 16)
     assert stand.sent_to() == "a"
-    stand.ended("2" * 16, "a", Status.EXPIRED)
+    stand.ended("2" * 16, "a", AttemptStatus.EXPIRED)
     stand.balancer._own.window = 200.0
     stand.now_us += SECOND + 1
     stand.ask()
@@ -355,7 +355,7 @@
         stand.ask(request=f"{index:016x}")
     for index in range(3):
         name = "abc"[index]
-        stand.ended(f"{index:016x}", name, Status.EXPIRED)
+        stand.ended(f"{index:016x}", name, AttemptStatus.EXPIRED)
     stand.balancer._own.window = 200.0  # the window for set-ups has a test of its own
     stand.ask()
     assert stand.sent_to() is not None
@@ -365,13 +365,13 @@
     # Guards against a storm: while the shared store is slow, more set-ups at once only fail more.
     stand = Stand()
     names = [f"s{index}" for index in range(40)]
-    stand.servers(*(ServerEntry(name) for name in names))
+    stand.servers(*(Endpoint(name) for name in names))
     for name in names:
         stand.report(name, 0.10, 10)
     for index in range(30):
         stand.ask(request=f"{index:016x}")
-        stand.ended(f"{index:016x}", str(stand.sent_to()), Status.EXPIRED)
-        stand.ended(f"{index:016x}", str(stand.sent_to()), Status.EXPIRED, attempt=1)
+        stand.ended(f"{index:016x}", str(stand.sent_to()), AttemptStatus.EXPIRED)
+        stand.ended(f"{index:016x}", str(stand.sent_to()), AttemptStatus.EXPIRED, attempt=1)
     admitted: list[tuple[str, str]] = []
     for index in range(100, 120):
         stand.ask(request=f"{index:016x}")
@@ -393,21 +393,21 @@
     for name in "abc":
         stand.report(name, 0.20, 10)
     stand.ask(request="1" * 16)
-    stand.ended("1" * 16, str(stand.sent_to()), Status.SHED)
+    stand.ended("1" * 16, str(stand.sent_to()), AttemptStatus.SHED)
     assert stand.sent_to() is not None
-    stand.ended("1" * 16, str(stand.sent_to()), Status.SHED, attempt=1)
-    assert stand.of(Refuse) == [Refuse("1" * 16, SECOND)]
+    stand.ended("1" * 16, str(stand.sent_to()), AttemptStatus.SHED, attempt=1)
+    assert stand.of(Reject) == [Reject("1" * 16, SECOND)]
 
 
 def test_without_a_price_every_ready_server_is_probed_each_period() -> None:
     stand = Stand()
     stand.fleet(a=0, b=1)
-    assert sorted(probe.server for probe in stand.of(Probe)) == ["a", "b"]
-    stand.event(ProbeResult("a", Status.DELIVERED, 900, (0.1, 5.0)))
-    stand.event(ProbeResult("b", Status.EXPIRED, 900))
-    stand.servers(drain("b", 1), kind=ListKind.DIFF)
+    assert sorted(probe.server for probe in stand.of(CheckHealth)) == ["a", "b"]
+    stand.event(HealthCheckResult("a", AttemptStatus.DELIVERED, 900, (0.1, 5.0)))
+    stand.event(HealthCheckResult("b", AttemptStatus.EXPIRED, 900))
+    stand.servers(drain("b", 1), kind=EndpointUpdateKind.DELTA)
     stand.period()
-    assert [probe.server for probe in stand.of(Probe)] == ["a"]
+    assert [probe.server for probe in stand.of(CheckHealth)] == ["a"]
 
 
 def test_silence_of_all_probes_still_places() -> None:
@@ -429,7 +429,7 @@
         request = f"{index:016x}"
         stand.ask(request=request)
         stand.begin(request, "a")
-        stand.ended(request, "a", Status.DELIVERED, final=True)
+        stand.ended(request, "a", AttemptStatus.DELIVERED, final=True)
         stand.period(2)
     assert len(stand.balancer._servers["a"].unshown) <= 3
     assert not stand.balancer._connections
@@ -456,15 +456,15 @@
     stand = Stand()
     stand.fleet(a=0)
     stand.report("a", 0.70, 35)
-    stand.servers(ServerEntry("a", last_start_us=T0 - SECOND), kind=ListKind.DIFF)
+    stand.servers(Endpoint("a", started_us=T0 - SECOND), kind=EndpointUpdateKind.DELTA)
     assert stand.balancer._servers["a"].probed is None
 
 
 def test_an_empty_list_refuses() -> None:
     stand = Stand()
-    stand.event(ListUpdate(ListKind.SNAPSHOT, 2, ()))
+    stand.event(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 2, ()))
     stand.ask()
-    assert stand.of(Refuse) and not stand.of(Send)
+    assert stand.of(Reject) and not stand.of(Send)
 
 
 def test_a_reported_load_over_one_moves_some_away_but_not_beside_a_delay_note() -> None:
@@ -473,8 +473,8 @@
     stand.report("a", 0.5, 20)
     stand.report("b", 0.1, 20)
     for index in range(40):
-        stand.event(Existing(Request(f"{index:016x}", 0, 0), "a"))
-    assert stand.report("a", 1.4, 40) and len(stand.of(Move)) == 4
+        stand.event(SessionRestored(Request(f"{index:016x}", 0, 0), "a"))
+    assert stand.report("a", 1.4, 40) and len(stand.of(Migrate)) == 4
     stand.late(f"{39:016x}", "a", 30.0)
     assert not stand.report("a", 1.4, 36)
 
@@ -503,10 +503,10 @@
     for name in "cde":
         stand.report(name, 0.5, 10)
     stand.ask(request="f" * 16)
-    stand.ended("f" * 16, "a", Status.APP_ERROR)
+    stand.ended("f" * 16, "a", AttemptStatus.APP_ERROR)
     assert stand.sent_to() == "b"
-    stand.ended("f" * 16, "b", Status.APP_ERROR, attempt=1)
-    assert stand.of(Refuse)
+    stand.ended("f" * 16, "b", AttemptStatus.APP_ERROR, attempt=1)
+    assert stand.of(Reject)
     stand.ask()
     assert stand.sent_to() == "a"
 
@@ -521,12 +521,12 @@
     for request in ("e" * 16, "f" * 16)[served_elsewhere:]:
         stand.ask(request=request)
         assert stand.sent_to() == "a"
-        stand.ended(request, "a", Status.APP_ERROR)
+        stand.ended(request, "a", AttemptStatus.APP_ERROR)
         assert stand.sent_to() == "b"
         if served_elsewhere:
             stand.begin(request, "b", 1)
         else:
-            stand.ended(request, "b", Status.APP_ERROR, attempt=1)
+            stand.ended(request, "b", AttemptStatus.APP_ERROR, attempt=1)
     stand.ask()
     assert stand.sent_to() != "a"
 
@@ -557,7 +557,7 @@
         stand.begin(f"e{index:015x}", "a")
     stand.report("b", 0.05, 10)
     stand.late("e" + "0" * 15, "a", delay_ms)
-    assert least <= len(stand.of(Move)) <= most
+    assert least <= len(stand.of(Migrate)) <= most
 
 
 def test_clients_sent_here_by_a_peers_drain_are_not_expected_of_the_peers_too() -> None:
@@ -567,8 +567,8 @@
         stand.fleet(a=0)
         stand.report("a", 0.36, 18)
         while True:
-            stand.ask(returned=returned)
-            if stand.of(Refuse):
+            stand.ask(is_returning=returned)
+            if stand.of(Reject):
                 return stand.asked - 1
             stand.begin(f"{stand.asked:016x}", "a")
 
@@ -592,7 +592,7 @@
         stand.report("b", 0.01, 1)
     for _ in range(2):
         stand.ask()
-        stand.ended(f"{stand.asked:016x}", str(stand.sent_to()), Status.APP_ERROR)
+        stand.ended(f"{stand.asked:016x}", str(stand.sent_to()), AttemptStatus.APP_ERROR)
     assert (stand.balancer._own.window < 200) == heard
 
 
@@ -602,10 +602,10 @@
     stand.fleet(a=0)
     stand.report("a", 0.9, 45)
     stand.ask()
-    assert [type(action) for action in stand.actions] == [Refuse, Log]  # asked just now
+    assert [type(action) for action in stand.actions] == [Reject, Log]  # asked just now
     stand.now_us += SECOND * 8 // 10
     stand.ask()
-    assert [type(action) for action in stand.actions] == [Refuse, Probe]
+    assert [type(action) for action in stand.actions] == [Reject, CheckHealth]
 
 
 def test_a_client_that_leaves_does_not_eject_its_server_but_a_draining_one_does() -> None:
@@ -617,8 +617,8 @@
         stand.ask(request="f" * 16)
         stand.begin("f" * 16, "a")
         if left:
-            stand.event(ClientGone("f" * 16))
-        stand.ended("f" * 16, "a", Status.REVOKED, final=True)
+            stand.event(ClientDisconnected("f" * 16))
+        stand.ended("f" * 16, "a", AttemptStatus.REVOKED, final=True)
         stand.fleet(a=0, b=0)
         stand.report("b", 0.5, 50)
         stand.ask()
@@ -635,9 +635,9 @@
     stand.fleet(a=0, b=0)
     for number in range(ours):
         for server, group in (("a", 7), ("b", 8)):
-            stand.event(Existing(Request(f"{server}{number:015x}", 0, 0, group=group), server))
+            stand.event(SessionRestored(Request(f"{server}{number:015x}", 0, 0, group=group), server))
     if not ours:
-        stand.event(Existing(Request("a" * 16, 0, 0, group=7), "a"))
+        stand.event(SessionRestored(Request("a" * 16, 0, 0, group=7), "a"))
     stand.now_us += 2 * SECOND
     stand.report("a", 0.50, 50)  # 0.51 for one more of the group, 0.05 less for the pull
     stand.report("b", 0.43, 43)  # 0.47 with three for the group, 0.45 with one
@@ -672,7 +672,7 @@
 def test_a_group_new_to_a_cold_server_weighs_one() -> None:
     # Guards against cold servers that stay empty: at a fifth of their capacity three connections are half of it.
     stand = Stand(settings(groups=True, balancers=1))
-    stand.servers(ServerEntry("a", last_start_us=T0 - 2 * SECOND))
+    stand.servers(Endpoint("a", started_us=T0 - 2 * SECOND))
     stand.now_us += SECOND
     stand.report("a", 0.55, 5)  # 0.77 with two more, 0.99 with four
     stand.ask(group=7)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,14 +7,14 @@
 import pytest
 
 from stoatgw.backends.backend import Backend
+from stoatgw.controller.controller import Controller, DecisionPolicy
+from stoatgw.controller.messages import RequestState
 from stoatgw.decisions import interface as api
-from stoatgw.emulator.checker import Checker, Figures, Rule
-from stoatgw.emulator.doors import Session
-from stoatgw.emulator.events import Event, What
-from stoatgw.emulator.realm import Realm
-from stoatgw.emulator.virtual import Make
-from stoatgw.owner.messages import Req
-from stoatgw.owner.owner import Module, Owner
+from stoatgw.emulator.checker.checker import Checker, CheckerLimits, Rule
+from stoatgw.emulator.virtual.driver import Make
+from stoatgw.emulator.virtual.session_model import Session
+from stoatgw.emulator.world.events import Event, EventKind
+from stoatgw.emulator.world.world_state import WorldState
 from tests.test_emulator import play, scenario
 
 
@@ -28,24 +28,24 @@
     """A module that sends every req to one server, chosen by `pick` from the list, whatever its state."""
 
     def __init__(self, pick: Any) -> None:
-        self._pick, self._listed = pick, dict[str, api.ServerEntry]()
+        self._pick, self._listed = pick, dict[str, api.Endpoint]()
 
     def start(self, now_us: int) -> list[api.Action]:
         return []
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
-        if isinstance(event, api.ListUpdate):
-            self._listed |= {entry.server: entry for entry in event.entries}
+        if isinstance(event, api.EndpointUpdate):
+            self._listed |= {entry.name: entry for entry in event.endpoints}
         if isinstance(event, api.Request):
-            return [api.Send(event.request, self._pick(self._listed), 0)]
-        if isinstance(event, api.Outcome) and not event.final:
-            return [api.Fail(event.request)]
+            return [api.Send(event.request_id, self._pick(self._listed), 0)]
+        if isinstance(event, api.AttemptOutcome) and not event.is_final:
+            return [api.Fail(event.request_id)]
         return []
 
 
 def stubborn(pick: Any) -> Any:
-    def policy(_: Realm) -> Make:
-        def make(settings: api.Settings, seed: int) -> Module:
+    def policy(_: WorldState) -> Make:
+        def make(settings: api.Settings, seed: int) -> DecisionPolicy:
             return Stubborn(pick)
 
         return make
@@ -54,9 +54,9 @@
 
 
 def test_a_proxy_that_forgets_an_answer_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Session, "refuse", lambda self, advice_us: self._finish("answered"))
+    monkeypatch.setattr(Session, "reject", lambda self, advice_us: self._finish("answered"))
     monkeypatch.setattr(Session, "fail", lambda self: self._finish("answered"))
-    monkeypatch.setattr("stoatgw.emulator.virtual.World.give_up", lambda self, session: None)
+    monkeypatch.setattr("stoatgw.emulator.virtual.driver.World.give_up", lambda self, session: None)
     assert Rule.ONE_ANSWER in rules_broken("shrink")
 
 
@@ -72,43 +72,43 @@
 
 
 def test_a_proxy_that_answers_late_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    refuse = Session.refuse
+    refuse = Session.reject
 
     def late(self: Session, advice_us: int) -> None:
         at_us = self._kernel.now_us() + 2_500_000
         self._kernel.at(at_us, lambda: refuse(self, advice_us))
 
-    monkeypatch.setattr(Session, "refuse", late)
-    monkeypatch.setattr("stoatgw.emulator.virtual.World.give_up", lambda self, session: None)
+    monkeypatch.setattr(Session, "reject", late)
+    monkeypatch.setattr("stoatgw.emulator.virtual.driver.World.give_up", lambda self, session: None)
     assert Rule.IN_TIME in rules_broken("shrink")
 
 
 def test_two_attempts_at_once_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def send_again(self: Owner, request: str, server: str, cut_at_us: int) -> None:
+    def send_again(self: Controller, request: str, server: str, cut_at_us: int) -> None:
         req = self._reqs[request]
         for attempt in (req.attempts, req.attempts + 1):
-            req.attempts, req.out, req.server, req.sent_us = attempt + 1, attempt, server, self._now_us
-            self._clock_door(req).begin(attempt, server, req.deadline_us)  # type: ignore[attr-defined]
+            req.attempts, req.active_attempt, req.server, req.sent_us = attempt + 1, attempt, server, self._now_us
+            self._clock_door(req).start_attempt(attempt, server, req.deadline_us)  # type: ignore[attr-defined]
 
-    begin = Session.begin
+    begin = Session.start_attempt
 
     def both(self: Session, attempt: int, server: str, cut_at_us: int) -> None:
         machine = self.machine
         begin(self, attempt, server, cut_at_us)
         if machine is not None:  # the first goes on beside the second
-            self._realm.log(What.SENT, self.proxy.name, self.name, machine.draw.name, attempt - 1)
+            self._realm.log(EventKind.SENT, self.proxy.name, self.name, machine.draw.name, attempt - 1)
 
-    monkeypatch.setattr(Owner, "_clock_door", lambda self, req: req.door, raising=False)
-    monkeypatch.setattr(Owner, "_send", send_again)
-    monkeypatch.setattr(Session, "begin", both)
+    monkeypatch.setattr(Controller, "_clock_door", lambda self, req: req.handler, raising=False)
+    monkeypatch.setattr(Controller, "_send", send_again)
+    monkeypatch.setattr(Session, "start_attempt", both)
     assert Rule.ONE_ATTEMPT in rules_broken("calm")
 
 
 def test_sending_to_a_leaving_server_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Backend, "may_send", lambda self, now_us, grace_us: True)
+    monkeypatch.setattr(Backend, "accepts_new_sessions", lambda self, now_us, grace_us: True)
     leaving = stubborn(
         lambda listed: next(
-            (name for name, entry in listed.items() if entry.lifecycle is api.Lifecycle.FADING), "s-0000"
+            (name for name, entry in listed.items() if entry.lifecycle is api.Lifecycle.DRAINING), "s-0000"
         )
     )
     # A server that drains for so long that it still answers when the grace is over.
@@ -116,20 +116,20 @@
 
 
 def test_pushing_over_a_cold_server_is_caught() -> None:
-    newest = stubborn(lambda listed: max(listed.values(), key=lambda entry: entry.last_start_us).server)
+    newest = stubborn(lambda listed: max(listed.values(), key=lambda entry: entry.started_us).name)
     assert Rule.COLD in rules_broken("grow", policy=newest)
 
 
 def test_a_proxy_that_ends_without_move_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Session, "move", lambda self: None)
+    monkeypatch.setattr(Session, "migrate", lambda self: None)
     assert Rule.NO_CUT in rules_broken("restarts")
 
 
 def test_a_proxy_that_keeps_records_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def keep(self: Owner, req: Req) -> None:
+    def keep(self: Controller, req: RequestState) -> None:
         pass
 
-    monkeypatch.setattr(Owner, "_forget", keep)
+    monkeypatch.setattr(Controller, "_forget", keep)
     assert Rule.NOTHING_HELD in rules_broken("calm")
 
 
@@ -143,7 +143,7 @@
 
 # Logs written by hand.
 
-FIGURES = Figures(drain_grace_us=3_000_000, fall_multiple=4.0, fall_us=1_000_000)
+FIGURES = CheckerLimits(drain_grace_us=3_000_000, fall_multiple=4.0, fall_us=1_000_000)
 
 
 def judge(*rows: tuple[Any, ...], end_us: int = 10_000_000) -> list[Rule]:
@@ -153,8 +153,8 @@
     return [each.rule for each in checker.finish(end_us)]
 
 
-TAKEN = (0, What.TAKEN, "n0", "r", "", 2_000_000)
-BUSY = (5, What.ANSWER, "n0", "r", "", 0, "busy")
+TAKEN = (0, EventKind.TAKEN, "n0", "r", "", 2_000_000)
+BUSY = (5, EventKind.ANSWER, "n0", "r", "", 0, "busy")
 
 
 @pytest.mark.parametrize(
@@ -162,37 +162,51 @@
     [
         ([TAKEN, BUSY], []),
         ([TAKEN], [Rule.ONE_ANSWER]),
-        ([TAKEN, (9, What.GONE, "n0", "r")], []),
-        ([TAKEN, BUSY, (6, What.ANSWER, "n0", "r", "", 0, "err")], [Rule.ONE_ANSWER]),
+        ([TAKEN, (9, EventKind.GONE, "n0", "r")], []),
+        ([TAKEN, BUSY, (6, EventKind.ANSWER, "n0", "r", "", 0, "err")], [Rule.ONE_ANSWER]),
         ([TAKEN, (2_050_001, *BUSY[1:])], [Rule.IN_TIME]),
         ([TAKEN, (2_050_000, *BUSY[1:])], []),
-        ([TAKEN, (9, What.PROXY, "n0", "", "", 0, "killed")], []),
-        ([TAKEN, (9, What.PROXY, "n0", "", "", 0, "stopped")], [Rule.ONE_ANSWER]),
+        ([TAKEN, (9, EventKind.PROXY, "n0", "", "", 0, "killed")], []),
+        ([TAKEN, (9, EventKind.PROXY, "n0", "", "", 0, "stopped")], [Rule.ONE_ANSWER]),
         (
-            [TAKEN, (1, What.SENT, "n0", "r", "a", 0), (2, What.SENT, "n0", "r", "b", 1), (3, *BUSY[1:])],
+            [TAKEN, (1, EventKind.SENT, "n0", "r", "a", 0), (2, EventKind.SENT, "n0", "r", "b", 1), (3, *BUSY[1:])],
             [Rule.ONE_ATTEMPT],
         ),
         (
-            [TAKEN, (1, What.SENT, "n0", "r", "a", 0), (2, What.ENDED, "n0", "r", "a", 0, "shed"),
-             (2, What.SENT, "n0", "r", "b", 1), (3, *BUSY[1:])], [],
+            [
+                TAKEN,
+                (1, EventKind.SENT, "n0", "r", "a", 0),
+                (2, EventKind.ENDED, "n0", "r", "a", 0, "shed"),
+                (2, EventKind.SENT, "n0", "r", "b", 1),
+                (3, *BUSY[1:]),
+            ],
+            [],
         ),
         (
-            [(0, What.TOLD, "n0", "", "a", 0, "DRAINING"), (1, What.TOLD, "n0", "", "a", 0, "DELETED"),
-             (3_000_001, What.SENT, "n0", "r", "a", 0)], [Rule.DRAIN],
+            [
+                (0, EventKind.TOLD, "n0", "", "a", 0, "DRAINING"),
+                (1, EventKind.TOLD, "n0", "", "a", 0, "DELETED"),
+                (3_000_001, EventKind.SENT, "n0", "r", "a", 0),
+            ],
+            [Rule.DRAIN],
         ),
-        ([(0, What.TOLD, "n0", "", "a", 0, "DRAINING"), (3_000_000, What.SENT, "n0", "r", "a", 0)], []),
+        ([(0, EventKind.TOLD, "n0", "", "a", 0, "DRAINING"), (3_000_000, EventKind.SENT, "n0", "r", "a", 0)], []),
         (
-            [(0, What.TOLD, "n0", "", "a", 0, "DRAINING"), (1, What.TOLD, "n0", "", "a", 0, "SERVING"),
-             (9_000_000, What.SENT, "n0", "r", "a", 0)], [],
+            [
+                (0, EventKind.TOLD, "n0", "", "a", 0, "DRAINING"),
+                (1, EventKind.TOLD, "n0", "", "a", 0, "SERVING"),
+                (9_000_000, EventKind.SENT, "n0", "r", "a", 0),
+            ],
+            [],
         ),
-        ([(0, What.UP, "n0", "r", "a"), (1, What.CUT, "n0", "r")], [Rule.NO_CUT]),
-        ([(0, What.UP, "n0", "r", "a"), (1, What.SILENT, "", "", "a"), (2, What.CUT, "n0", "r")], []),
-        ([(0, What.UP, "n0", "r", "a"), (1, What.MOVED, "n0", "r")], []),
-        ([(0, What.HELD, "n0", "", "", 0)], []),
-        ([(0, What.HELD, "n0", "", "", 2)], [Rule.NOTHING_HELD]),
-        ([(0, What.NOTE, "n0", "", "", 0, "fault")], [Rule.NO_FAULT]),
+        ([(0, EventKind.UP, "n0", "r", "a"), (1, EventKind.CUT, "n0", "r")], [Rule.NO_CUT]),
+        ([(0, EventKind.UP, "n0", "r", "a"), (1, EventKind.SILENT, "", "", "a"), (2, EventKind.CUT, "n0", "r")], []),
+        ([(0, EventKind.UP, "n0", "r", "a"), (1, EventKind.MOVED, "n0", "r")], []),
+        ([(0, EventKind.HELD, "n0", "", "", 0)], []),
+        ([(0, EventKind.HELD, "n0", "", "", 2)], [Rule.NOTHING_HELD]),
+        ([(0, EventKind.NOTE, "n0", "", "", 0, "fault")], [Rule.NO_FAULT]),
     ],
-)  # fmt: skip
+)
 def test_a_log_is_judged(rows: list[tuple[Any, ...]], rules: list[Rule]) -> None:
     assert judge(*rows) == rules
 
@@ -200,7 +214,7 @@
 @pytest.mark.parametrize(("units", "knew", "rules"), [(1, True, []), (2, True, [Rule.COLD]), (2, False, [])])
 def test_a_cold_budget_is_judged(units: int, knew: bool, rules: list[Rule]) -> None:
     """50 units fill it in 24 s: 4 x 0.2 x 50 / 24, and 3 for chance, may come within a second."""
-    rows: list[tuple[Any, ...]] = [(0, What.STARTED, "", "", "a", 50_000, "0.2,24000000")]
-    rows += [(1, What.TOLD, "n0", "", "a", 0, "SERVING")] if knew else []
-    rows += [(10 + number, What.RAN, "n0", f"r{number}", "a", 0, str(units)) for number in range(4)]
+    rows: list[tuple[Any, ...]] = [(0, EventKind.STARTED, "", "", "a", 50_000, "0.2,24000000")]
+    rows += [(1, EventKind.TOLD, "n0", "", "a", 0, "SERVING")] if knew else []
+    rows += [(10 + number, EventKind.RAN, "n0", f"r{number}", "a", 0, str(units)) for number in range(4)]
     assert judge(*rows) == rules
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,10 +13,19 @@
 
 from stoatgw.backends.attempt import Attempt
 from stoatgw.backends.backend import Backend
-from stoatgw.clients.room import DESCRIPTORS_KEPT, Room
-from stoatgw.decisions.interface import Idempotency, KeyScope, Profile, Status
-from stoatgw.owner.messages import Arrived, AttemptEnd, AttemptEnded, AttemptUp, Drain, Message, Overdue, Stage
-from stoatgw.owner.owner import REPEAT_GUARD_US, Owner
+from stoatgw.clients.descriptor_limiter import DESCRIPTORS_KEPT, DescriptorLimiter
+from stoatgw.controller.controller import REPEAT_GUARD_US, Controller
+from stoatgw.controller.messages import (
+    AttemptEnd,
+    AttemptEnded,
+    AttemptEstablished,
+    AttemptStage,
+    BeginDrain,
+    Message,
+    RequestReceived,
+    RequestTimedOut,
+)
+from stoatgw.decisions.interface import AttemptStatus, Idempotency, KeyScope, RequestClass
 from stoatgw.sockets import calls
 from stoatgw.telemetry.log import EventLog
 from tests.fleet import settings
@@ -38,14 +47,14 @@
     """UP is on its way when the owner finds the time to be up: no ERR behind it, the connection stands."""
 
     async def test(proxy: Proxy) -> None:
-        put = proxy.owner.put
+        put = proxy.owner.post
 
         def crossed(message: Message) -> None:
-            if isinstance(message, AttemptUp):
-                put(Overdue(message.req))
+            if isinstance(message, AttemptEstablished):
+                put(RequestTimedOut(message.state))
             put(message)
 
-        setattr(proxy.owner, "put", crossed)  # noqa: B010
+        setattr(proxy.owner, "post", crossed)  # noqa: B010
         reader, writer = await proxy.ask()
         assert await reader.readline() == b"UP 77\r\n"
         writer.write(b"still here\r\nEND\r\n")
@@ -63,7 +72,7 @@
 
         async def crossed(self: Attempt, *args: Any) -> AttemptEnd | None:
             end = await real(self, *args)
-            next(iter(proxy.owner._reqs.values())).door.fail()
+            next(iter(proxy.owner._reqs.values())).handler.fail()
             return end
 
         monkeypatch.setattr(Attempt, "open", crossed)
@@ -103,8 +112,8 @@
         sock.full = task.cancel if why == "cancel" else lambda: None
         await asyncio.wait([task])
         if why == "time":
-            assert task.result() == AttemptEnd(Status.EXPIRED, Stage.SENT, "timed out")
-        assert fetch.stage is Stage.SENT
+            assert task.result() == AttemptEnd(AttemptStatus.EXPIRED, AttemptStage.SENT, "timed out")
+        assert fetch.stage is AttemptStage.SENT
         fetch.close()
         server.close()
 
@@ -121,7 +130,7 @@
         now_us = proxy.clock.now_us()
         fetch = Attempt(backend, proxy.clock, 10**6, 0, lambda row: (), lambda: None)
         end = await fetch.open(lambda _: LINE, now_us + 10**6, now_us)
-        assert end is not None and (end.status, end.stage) == (Status.DIAL_FAILED, Stage.CONNECTING)
+        assert end is not None and (end.status, end.stage) == (AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)
         fetch.close()
         while not proxy.asked:
             await asyncio.sleep(0.01)
@@ -131,25 +140,25 @@
 
 
 def of(effect: Idempotency, scope: KeyScope = KeyScope.ALL, **changes: Any) -> Any:
-    profile = Profile(300_000, 2_000_000, 1.0, effect, scope, 500_000)
+    profile = RequestClass(300_000, 2_000_000, 1.0, effect, scope, 500_000)
     return settings(profiles=(profile, profile), **changes)
 
 
-def ask(config: Any, *statuses: Status, last: Message | None = None) -> list[Any]:
+def ask(config: Any, *statuses: AttemptStatus, last: Message | None = None) -> list[Any]:
     """What a client is told whose attempts end so, one after the other; `last`: told to the owner while one is out."""
     told: list[Any] = []
 
     async def play(stand: Stand) -> None:
-        stand.owner = Owner(config, 7, stand.clock, EventLog("test"), stand.counters)
+        stand.owner = Controller(config, 7, stand.clock, EventLog("test"), stand.counters)
         stand.owner.start(stand.backstage)
         await stand.servers(*"abcdefghijkl")
         req, door = stand.req()
-        await stand.take(Arrived(req))
+        await stand.take(RequestReceived(req))
         for attempt, status in enumerate(statuses):
-            await stand.take(AttemptEnded(req, attempt, AttemptEnd(status, Stage.SENT)))
+            await stand.take(AttemptEnded(req, attempt, AttemptEnd(status, AttemptStage.SENT)))
         told.append(req)
         if last is not None:
-            await stand.take(Overdue(req) if isinstance(last, Overdue) else last)
+            await stand.take(RequestTimedOut(req) if isinstance(last, RequestTimedOut) else last)
         told.extend(door.told)
 
     drive(play)
@@ -157,32 +166,32 @@
 
 
 def test_a_repeat_of_a_dedup_request_has_to_begin_within_its_window() -> None:
-    req = ask(of(Idempotency.DEDUP), Status.DROPPED)[0]
-    assert req.repeat_by_us == req.ran_us + 500_000 - REPEAT_GUARD_US
-    assert ask(of(Idempotency.DEDUP), Status.DIAL_FAILED)[0].repeat_by_us == 0  # the first never ran
+    req = ask(of(Idempotency.DEDUP), AttemptStatus.DROPPED)[0]
+    assert req.retry_before_us == req.first_run_us + 500_000 - REPEAT_GUARD_US
+    assert ask(of(Idempotency.DEDUP), AttemptStatus.DIAL_FAILED)[0].retry_before_us == 0  # the first never ran
 
 
 FAILED, REFUSED = "failed", "busy"
-LAST: dict[str, Message] = {"overdue": Overdue(None), "stop": Drain(400_000, 100_000)}  # type: ignore[arg-type]
+LAST: dict[str, Message] = {"overdue": RequestTimedOut(None), "stop": BeginDrain(400_000, 100_000)}  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     ("config", "statuses", "last", "answer"),
     [
-        (of(Idempotency.FRAGILE), [Status.DROPPED], "", FAILED),
-        (of(Idempotency.FRAGILE), [Status.DIAL_FAILED, Status.SHED], "", REFUSED),
-        (of(Idempotency.FRAGILE), [Status.DIAL_FAILED], "overdue", FAILED),  # one is out
-        (of(Idempotency.FRAGILE), [Status.DIAL_FAILED], "stop", FAILED),
+        (of(Idempotency.FRAGILE), [AttemptStatus.DROPPED], "", FAILED),
+        (of(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED, AttemptStatus.SHED], "", REFUSED),
+        (of(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED], "overdue", FAILED),  # one is out
+        (of(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED], "stop", FAILED),
         (of(Idempotency.FRAGILE, balancers=40), [], "stop", REFUSED),  # it waits for probes: never sent on
         (of(Idempotency.FRAGILE, balancers=40), [], "overdue", REFUSED),
-        (of(Idempotency.DEDUP, KeyScope.ZONE), [Status.DROPPED, Status.DROPPED], "", FAILED),
-        (of(Idempotency.DEDUP, KeyScope.CELL), [Status.EXPIRED], "stop", FAILED),
-        (of(Idempotency.DEDUP), [Status.EXPIRED], "stop", REFUSED),
-        (of(Idempotency.RETRYABLE), [Status.EXPIRED], "stop", REFUSED),
+        (of(Idempotency.DEDUP, KeyScope.ZONE), [AttemptStatus.DROPPED, AttemptStatus.DROPPED], "", FAILED),
+        (of(Idempotency.DEDUP, KeyScope.CELL), [AttemptStatus.EXPIRED], "stop", FAILED),
+        (of(Idempotency.DEDUP), [AttemptStatus.EXPIRED], "stop", REFUSED),
+        (of(Idempotency.RETRYABLE), [AttemptStatus.EXPIRED], "stop", REFUSED),
     ],
 )
 def test_a_refusal_only_where_nothing_can_have_run_or_a_repeat_is_harmless(
-    config: Any, statuses: list[Status], last: str, answer: str
+    config: Any, statuses: list[AttemptStatus], last: str, answer: str
 ) -> None:
     *_, told = ask(config, *statuses, last=LAST.get(last))
     assert (told if told == FAILED else told[0]) == answer
@@ -199,7 +208,7 @@
         proxy.owner._balancer._settings = of(effect)  # type: ignore[attr-defined]
         monkeypatch.setattr(calls, "make", full)
         assert (await rest(await proxy.ask())).startswith(b"BUSY")
-        assert proxy.owner.avoided() == []
+        assert proxy.owner.avoided_servers() == []
         await proxy.settle()
 
     play(echo, test)
@@ -234,10 +243,10 @@
 def test_a_request_that_crosses_the_end_of_an_idle_connection_is_refused_without_a_reset() -> None:
     async def test(proxy: Proxy) -> None:
         loop = asyncio.get_running_loop()
-        proxy.context.room = Room(DESCRIPTORS_KEPT + 4)
+        proxy.context.descriptor_limiter = DescriptorLimiter(DESCRIPTORS_KEPT + 4)
         first = socket.create_connection(("127.0.0.1", proxy.port))
         first.setblocking(False)
-        while not proxy.context.room._waiting:
+        while not proxy.context.descriptor_limiter._waiting:
             await asyncio.sleep(0.01)
         second = await proxy.client()
         await calls.readable(first)  # room was wanted: BUSY is there, unread
@@ -257,7 +266,7 @@
 
 def test_who_waits_in_the_backlog_as_the_process_ends_is_answered() -> None:
     async def test(proxy: Proxy) -> None:
-        proxy.owner.put(Drain(0, 0))
+        proxy.owner.post(BeginDrain(0, 0))
         proxy.listener.accept(False)
         await asyncio.sleep(0.05)
         waiting = await proxy.ask()
--- a/tests/test_director.py
+++ b/tests/test_director.py
@@ -18,22 +18,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatgw.backends.backend import GRACE_GUARD_US, Backends
+from stoatgw.backends.backend import GRACE_GUARD_US, BackendRegistry
+from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, ConfigError, Deployment, read
+from stoatgw.controller.messages import EndpointsUpdated
 from stoatgw.decisions.interface import Lifecycle
-from stoatgw.director import director as watching
-from stoatgw.director.backoff import TOLD_S, Backoff
-from stoatgw.director.http import HttpError, HttpObjects, JsonObjects
-from stoatgw.director.list import ListError, ListReader
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import Listed
+from stoatgw.discovery import client as watching
+from stoatgw.discovery.backoff import TOLD_S, Backoff
+from stoatgw.discovery.endpoint_list import EndpointListError, EndpointListParser
+from stoatgw.discovery.http import HttpError, JsonObjectSplitter, JsonStreamParser
 from stoatgw.service import main
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.virtual import VirtualClock, run
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
-READER = ListReader(("a", "b"), ("m1", "m2"))
+READER = EndpointListParser(("a", "b"), ("m1", "m2"))
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CONFIG: dict[str, Any] = {
     "name": "n0",
@@ -57,8 +57,16 @@
 
 
 def entry(**changes: Any) -> dict[str, Any]:
-    base = {"instanceId": "s-1", "hostPort": "127.0.0.2:80", "zone": "b", "machineType": "m2", "cell": 3,
-            "lifecycle": "SERVING", "weight": 1.5, "startedAtMs": 5}  # fmt: skip
+    base = {
+        "instanceId": "s-1",
+        "hostPort": "127.0.0.2:80",
+        "zone": "b",
+        "machineType": "m2",
+        "cell": 3,
+        "lifecycle": "SERVING",
+        "weight": 1.5,
+        "startedAtMs": 5,
+    }
     return base | changes
 
 
@@ -74,7 +82,7 @@
     chunks = [body[start : start + sizes[0]] for start in range(0, len(body), sizes[0])]
     data = HEAD + b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
     ends = sorted({place % len(data) for place in places} | {0, len(data)})
-    http = HttpObjects()
+    http = JsonStreamParser()
     items = [item for start, end in itertools.pairwise(ends) for item in http.feed(data[start:end]) if item]
     assert [orjson.loads(item)["version"] for item in items] == sizes
 
@@ -84,18 +92,18 @@
 def test_garbage_for_http_ends_in_a_value_error_at_most(garbage: bytes) -> None:
     for data in (garbage, HEAD + garbage):
         with contextlib.suppress(HttpError):
-            HttpObjects().feed(data)
+            JsonStreamParser().feed(data)
 
 
 def test_an_error_status_is_no_list() -> None:
     with pytest.raises(HttpError):
-        HttpObjects().feed(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        JsonStreamParser().feed(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
 def test_an_entry_is_read_by_name() -> None:
-    row, host, port = READER.page(page(entry())).rows[0]
-    assert (row.server, row.zone, row.kind, row.cell, row.last_start_us) == ("s-1", 1, 1, 3, 5000)
-    assert (row.lifecycle, host, port) == (Lifecycle.ON, "127.0.0.2", 80)
+    row, host, port = READER.parse_page(page(entry())).rows[0]
+    assert (row.name, row.zone, row.machine_kind, row.cell, row.started_us) == ("s-1", 1, 1, 3, 5000)
+    assert (row.lifecycle, host, port) == (Lifecycle.ACTIVE, "127.0.0.2", 80)
 
 
 JSON = st.recursive(st.none() | st.booleans() | st.floats() | st.text(), st.lists)
@@ -105,19 +113,19 @@
 @given(st.sampled_from([*entry(), "generation", "reset", "instances"]), JSON)
 def test_garbage_in_a_list_is_a_list_error_at_most(field: str, value: Any) -> None:
     for data in (page(entry(**{field: value})), page(entry(), **{field: value}), page(value), value):
-        with contextlib.suppress(ListError):
-            READER.page(data)
+        with contextlib.suppress(EndpointListError):
+            READER.parse_page(data)
 
 
 def test_no_first_byte_after_the_drain_grace() -> None:
-    backends, grace_us = Backends(), 3_000_000
-    backends.listed(READER.page(page(entry())).rows, True, 0)
+    backends, grace_us = BackendRegistry(), 3_000_000
+    backends.update(READER.parse_page(page(entry())).rows, True, 0)
     backend = backends.get("s-1")
-    assert backend is not None and backend.may_send(10**9, grace_us)
-    assert backends.listed(READER.page(page(entry(lifecycle="DRAINING"))).rows, False, 10**9) == [backend]
-    assert backends.listed(READER.page(page()).rows, True, 2 * 10**9) == []  # told once: the first counts
-    assert backend.may_send(10**9 + grace_us - GRACE_GUARD_US - 1, grace_us)
-    assert not backend.may_send(10**9 + grace_us - GRACE_GUARD_US, grace_us)
+    assert backend is not None and backend.accepts_new_sessions(10**9, grace_us)
+    assert backends.update(READER.parse_page(page(entry(lifecycle="DRAINING"))).rows, False, 10**9) == [backend]
+    assert backends.update(READER.parse_page(page()).rows, True, 2 * 10**9) == []  # told once: the first counts
+    assert backend.accepts_new_sessions(10**9 + grace_us - GRACE_GUARD_US - 1, grace_us)
+    assert not backend.accepts_new_sessions(10**9 + grace_us - GRACE_GUARD_US, grace_us)
 
 
 def test_the_configuration_is_read() -> None:
@@ -220,17 +228,24 @@
                 await reader.read()
         writer.close()
 
-    def put(message: Listed) -> None:
-        if any(each.lifecycle is Lifecycle.FADING for each in message.update.entries):
+    def put(message: EndpointsUpdated) -> None:
+        if any(each.lifecycle is Lifecycle.DRAINING for each in message.update.endpoints):
             told.set()
 
     server = await asyncio.start_server(discovery, "127.0.0.1", 0)
     address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-    director = watching.Director(
-        address, READER, Backends(), SimpleNamespace(put=put), VirtualClock(), lambda backend: None,  # type: ignore[arg-type]
-        EventLog("n0"), Counters(), Backoff(2 if pushed else 200, Random(seed), pushed=pushed),
+    director = watching.DiscoveryClient(
+        address,
+        READER,
+        BackendRegistry(),
+        SimpleNamespace(post=put),
+        VirtualClock(),
+        lambda backend: None,
+        EventLog("n0"),
+        Counters(),
+        Backoff(2 if pushed else 200, Random(seed), pushed=pushed),
         watching.PUSHED_ANSWER_S if pushed else watching.ASKED_ANSWER_S,
-    )  # fmt: skip
+    )
     task = asyncio.create_task(director.run())
     async with asyncio.timeout(down_s + 60):
         await told.wait()
@@ -259,19 +274,26 @@
 
 def test_changes_of_an_older_generation_are_not_taken_in() -> None:
     put: list[Any] = []
-    director = watching.Director(
-        Address("127.0.0.1", 1), READER, Backends(), SimpleNamespace(put=put.append), Clock(),  # type: ignore[arg-type]
-        lambda backend: None, EventLog("n0"), Counters(), Backoff(2, Random(1)),
-    )  # fmt: skip
-    director.known(page(entry(lifecycle="DRAINING"), generation=42))
+    director = watching.DiscoveryClient(
+        Address("127.0.0.1", 1),
+        READER,
+        BackendRegistry(),
+        SimpleNamespace(post=put.append),
+        Clock(),
+        lambda backend: None,
+        EventLog("n0"),
+        Counters(),
+        Backoff(2, Random(1)),
+    )
+    director.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
     assert not director._object(json.dumps(page(entry(), generation=41, reset=False)).encode())
-    assert director.entries()[0].lifecycle is Lifecycle.FADING
+    assert director.endpoints()[0].lifecycle is Lifecycle.DRAINING
     assert director._object(json.dumps(page(entry(), generation=3)).encode())  # the whole list, of a new count
-    assert director.entries()[0].lifecycle is Lifecycle.ON
+    assert director.endpoints()[0].lifecycle is Lifecycle.ACTIVE
 
 
 def test_an_object_without_end_is_given_up_at_the_cap() -> None:
-    objects = JsonObjects(cap=1000)
+    objects = JsonObjectSplitter(cap=1000)
     for _ in range(100):
         assert objects.feed(b'{"a":"' + b"x" * 20) == []
     assert objects.overlong and not objects.rest
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,19 +18,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatgw.emulator.checker import Checker, Figures
-from stoatgw.emulator.doors import Session
-from stoatgw.emulator.events import Event, EventSink, What
-from stoatgw.emulator.kernel import Kernel, ProcessLoop
-from stoatgw.emulator.ledger import Ledger, goal
-from stoatgw.emulator.machine import Held, Life, Machine, draw
-from stoatgw.emulator.policies import floor, top
-from stoatgw.emulator.population import Client, draw_population
-from stoatgw.emulator.scenario import Fleet, Kind, Module, Scenario, ScenarioError, load, read
-from stoatgw.emulator.streams import Streams
-from stoatgw.emulator.virtual import AFTER_US, Policy, World, module
-from stoatgw.owner.messages import AttemptUp
-from stoatgw.owner.owner import Owner
+from stoatgw.controller.controller import Controller
+from stoatgw.controller.messages import AttemptEstablished
+from stoatgw.emulator.checker.checker import Checker, CheckerLimits
+from stoatgw.emulator.virtual.driver import AFTER_US, Policy, World, module
+from stoatgw.emulator.virtual.kernel import Kernel, ProcessLoop
+from stoatgw.emulator.virtual.policies import floor, top
+from stoatgw.emulator.virtual.session_model import Session
+from stoatgw.emulator.world.events import Event, EventKind, EventSink
+from stoatgw.emulator.world.population import Client, draw_population
+from stoatgw.emulator.world.scenario import Fleet, Kind, Module, Scenario, ScenarioError, load, read
+from stoatgw.emulator.world.server_model import Held, ServerLifecycle, ServerModel, draw
+from stoatgw.emulator.world.service_accounting import ServiceAccounting, goal
+from stoatgw.emulator.world.streams import Streams
 
 ROOT = Path(__file__).resolve().parent.parent
 SCENARIOS = sorted(path.stem for path in (ROOT / "scenarios").glob("*.toml"))
@@ -50,7 +50,7 @@
     chance: Callable[[float], float] | None = None,
 ) -> tuple[World, Checker, list[Event]]:
     rules, events = day.module, list[Event]()
-    figures = Figures(int(rules.drain_grace_ms * 1000), rules.fall_multiple, int(rules.fall_ms * 1000))
+    figures = CheckerLimits(int(rules.drain_grace_ms * 1000), rules.fall_multiple, int(rules.fall_ms * 1000))
     checker = Checker(replace(figures, chance=chance) if chance is not None else figures)
     world = World(day, seed, EventSink((checker.feed, events.append)), policy, shuffle)
     world.run()
@@ -102,16 +102,16 @@
 # The model of a server.
 
 
-def machine(started: int = 0, **fleet: Any) -> Machine:
+def machine(started: int = 0, **fleet: Any) -> ServerModel:
     kind = Kind(name="k", share=1.0, cores=2, cold_from=(0.2, 0.2), cold_s=(10.0, 10.0))
     plain = {"per_core": (25.0, 25.0), "full_tax": (0.0, 0.0), "cap": (1.5, 1.5), "message": (0.05, 0.05)}
     rows = Fleet(kinds=(kind,), **(plain | fleet))
     drawn = draw("s-0000", 0, 0, kind, rows, 0.1, np.random.default_rng(1))
-    ledger = Ledger(0, 60, (2.0, 1.0))
-    return Machine(drawn, (0.1, 0.25), Module(), ledger, np.random.default_rng(2), 0, started)
+    ledger = ServiceAccounting(0, 60, (2.0, 1.0))
+    return ServerModel(drawn, (0.1, 0.25), Module(), ledger, np.random.default_rng(2), 0, started)
 
 
-def fill(server: Machine, units: float, count: int = 10) -> None:
+def fill(server: ServerModel, units: float, count: int = 10) -> None:
     for number in range(count):
         server.hold(server.now_us, Held(f"c{number}", 0, units / count, None))
 
@@ -238,7 +238,7 @@
 
 
 def test_service_is_what_was_earned_of_what_was_asked() -> None:
-    ledger = Ledger(0, 20, (2.0, 1.0))
+    ledger = ServiceAccounting(0, 20, (2.0, 1.0))
     ledger.ask(np.array([0, 1]), np.array([0, 5 * SECOND]), np.array([20 * SECOND, 100 * SECOND]))
     assert ledger.asked.sum() == pytest.approx(2 * 20 + 15)
     ledger.earn(0, 10 * SECOND, 0, 1, 1.0)
@@ -306,7 +306,7 @@
     world, checker, events = play(scenario(name))
     assert [str(each) for each in checker.broken] == []
     assert checker.counts["answer"] > 20 and world.tally["up"] > 20
-    assert any(event.what is What.FAULT for event in events) or name == "calm"
+    assert any(event.what is EventKind.FAULT for event in events) or name == "calm"
 
 
 FLEETS = [("fleet-join", 20), ("fleet-join", 30), ("fleet-join", 40), ("fleet-herd", 40)]
@@ -317,7 +317,7 @@
     name: str, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """By the operators' words: beyond the budget N only 2 * root of N + 2 is chance. In fleet-herd 28 proxies die."""
-    monkeypatch.setattr("stoatgw.emulator.machine.COLD_SLACK", 1e9)  # none falls: all that is sent is seen
+    monkeypatch.setattr("stoatgw.emulator.world.server_model.COLD_SLACK", 1e9)  # none falls: all that is sent is seen
     _, checker, _ = play(scenario(name, f"proxies.count={count}"), chance=lambda budget: 2 * budget**0.5 + 2)
     assert [str(each) for each in checker.broken if "units within the window" in each.why] == []
     assert checker.counts["ran"] > 500
@@ -340,17 +340,21 @@
 
 def test_one_seed_gives_one_log_whatever_the_hash_seed() -> None:
     code = (
-        "from pathlib import Path; from stoatgw.emulator.scenario import load; "
-        "from stoatgw.emulator.events import EventSink; from stoatgw.emulator.virtual import World; "
+        "from pathlib import Path; from stoatgw.emulator.world.scenario import load; "
+        "from stoatgw.emulator.world.events import EventSink; from stoatgw.emulator.virtual.driver import World; "
         "s = EventSink(); World(load(Path('scenarios/crashes.toml')), 3, s).run(); print(s.digest, s.count)"
     )
     told = {
         subprocess.run(
-            [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True,
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            text=True,
+            check=True,
             env=os.environ | {"PYTHONHASHSEED": seed},
         ).stdout
         for seed in ("0", "1", "4242")
-    }  # fmt: skip
+    }
     assert len(told) == 1
 
 
@@ -362,16 +366,16 @@
 
 def test_a_client_that_leaves_in_the_turn_of_its_up_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     """The client's end and UP reach the owner in one turn; neither its record nor a second answer is left."""
-    put, left = Owner.put, list[str]()
+    put, left = Controller.post, list[str]()
 
-    def leave_with_up(self: Owner, message: Any) -> None:
-        door = message.req.door if isinstance(message, AttemptUp) else None
+    def leave_with_up(self: Controller, message: Any) -> None:
+        door = message.state.handler if isinstance(message, AttemptEstablished) else None
         if isinstance(door, Session) and len(left) < 20:
             left.append(door.name)
             door._kernel.soon(partial(door.proxy.loop.deliver, door.client_left))  # before the owner's next turn
         put(self, message)
 
-    monkeypatch.setattr(Owner, "put", leave_with_up)
+    monkeypatch.setattr(Controller, "post", leave_with_up)
     world, checker, _ = play(scenario("calm"))
     assert len(left) == 20 and checker.broken == []
     assert not any(name in machine.held for name in left for machine in world.realm.machines.values())
@@ -380,9 +384,9 @@
 def test_a_server_that_dies_between_the_first_and_last_byte_costs_one_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     sent, killed = Session._connected, list[str]()
 
-    def die(self: Session, server: Machine, cut_at_us: int) -> None:
+    def die(self: Session, server: ServerModel, cut_at_us: int) -> None:
         sent(self, server, cut_at_us)
-        if len(killed) < 2 and server.life is Life.SERVING:
+        if len(killed) < 2 and server.life is ServerLifecycle.SERVING:
             killed.append(server.draw.name)
             self._realm.kill(server)
 
@@ -390,28 +394,35 @@
     world, checker, events = play(scenario("calm"))
     assert len(killed) == 2 and checker.broken == []
     assert world.tally["attempts"] > world.tally["up"]  # the attempts that died, made good elsewhere
-    assert not [event for event in events if event.what is What.ANSWER and event.detail == "err"]
+    assert not [event for event in events if event.what is EventKind.ANSWER and event.detail == "err"]
 
 
 def test_a_frozen_proxys_clients_give_up_and_are_not_answered_twice() -> None:
     day = read(
-        {"version": 1, "name": "x", "length_s": 20.0, "proxies": {"count": 2}, "clients": {"load": 0.5},
-         "faults": [{"kind": "freeze_proxy", "at_s": 5, "proxy": 0, "for_s": 4.0}]}, "test",
-    )  # fmt: skip
+        {
+            "version": 1,
+            "name": "x",
+            "length_s": 20.0,
+            "proxies": {"count": 2},
+            "clients": {"load": 0.5},
+            "faults": [{"kind": "freeze_proxy", "at_s": 5, "proxy": 0, "for_s": 4.0}],
+        },
+        "test",
+    )
     world, checker, events = play(day)
     assert checker.broken == [] and world.tally["timed_out"] > 0
-    gone = {event.req for event in events if event.what is What.GONE}
+    gone = {event.req for event in events if event.what is EventKind.GONE}
     # Their lines lay in the proxy's sockets: it took them after the thaw, and no server ran one for nobody.
-    late = {event.req for event in events if event.what is What.TAKEN and event.t_us >= 9_000_000} & gone
-    assert late and not late & {event.req for event in events if event.what is What.SENT}
+    late = {event.req for event in events if event.what is EventKind.TAKEN and event.t_us >= 9_000_000} & gone
+    assert late and not late & {event.req for event in events if event.what is EventKind.SENT}
 
 
 def test_a_killed_proxys_clients_come_back_through_its_peers() -> None:
     day = scenario("calm", "faults=[{kind='kill_proxy', at_s=20, proxy=0, back_s=30}]")
     world, checker, events = play(day)
-    lost = sum(event.what is What.OVER and event.detail == "proxy killed" for event in events)
+    lost = sum(event.what is EventKind.OVER and event.detail == "proxy killed" for event in events)
     assert lost > 10 and checker.broken == []
-    again = [e for e in events if e.what is What.UP and e.proxy != "n0" and 20e6 < e.t_us < 30e6]
+    again = [e for e in events if e.what is EventKind.UP and e.proxy != "n0" and 20e6 < e.t_us < 30e6]
     assert len(again) >= 0.8 * lost
     assert world.realm.ledger.service()["whole"] > 0.9
 
@@ -426,5 +437,5 @@
     file = tmp_path / "log"
     with file.open("wb") as out:
         sink = EventSink(file=out)
-        sink.add(5, What.SENT, "n0", "r", "s", 1)
+        sink.add(5, EventKind.SENT, "n0", "r", "s", 1)
     assert json.loads(file.read_text()) == [5, "sent", "n0", "r", "s", 1, ""]
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -9,24 +9,31 @@
 
 import pytest
 
-from stoatgw.decisions.interface import Lifecycle, ListKind, ListUpdate, Request, ServerEntry, Status
-from stoatgw.owner.messages import Drain
-from stoatgw.telemetry.figures import Figures, Verdict
+from stoatgw.controller.messages import BeginDrain
+from stoatgw.decisions.interface import AttemptStatus, Endpoint, EndpointUpdate, EndpointUpdateKind, Lifecycle, Request
+from stoatgw.telemetry.metrics import RequestMetrics, RequestOutcome
 from tests.fleet import Stand
 from tests.test_sessions import Proxy, play
 
-KINDS = {b"UP": Verdict.SUCCESS, b"BUSY": Verdict.OVERLOAD}
+KINDS = {b"UP": RequestOutcome.SUCCESS, b"BUSY": RequestOutcome.OVERLOAD}
 
 
 def test_every_class_has_its_figures_from_the_first_reading_on() -> None:
-    figures = Figures(["chat", "view"])
-    figures.answered("view", Verdict.OVERLOAD)
-    figures.answered("no such class", Verdict.ERROR)
+    figures = RequestMetrics(["chat", "view"])
+    figures.record_outcome("view", RequestOutcome.OVERLOAD)
+    figures.record_outcome("no such class", RequestOutcome.ERROR)
     assert figures.render(3, 1).splitlines() == [
-        "proxy.success.chat:0|c", "proxy.success.view:0|c", "proxy.overload.chat:0|c", "proxy.overload.view:1|c",
-        "proxy.error.chat:0|c", "proxy.error.view:0|c", "proxy.dispatches:0|c", "proxy.concurrent:0|g",
-        "proxy.targets:3|g", "proxy.targets_disabled:1|g",
-    ]  # fmt: skip
+        "proxy.success.chat:0|c",
+        "proxy.success.view:0|c",
+        "proxy.overload.chat:0|c",
+        "proxy.overload.view:1|c",
+        "proxy.error.chat:0|c",
+        "proxy.error.view:0|c",
+        "proxy.dispatches:0|c",
+        "proxy.concurrent:0|g",
+        "proxy.targets:3|g",
+        "proxy.targets_disabled:1|g",
+    ]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -41,7 +48,7 @@
                 await reader.read()
         writer.close()
 
-    async def client(proxy: Proxy, seen: Counter[tuple[str, Verdict]], gone: list[str]) -> None:
+    async def client(proxy: Proxy, seen: Counter[tuple[str, RequestOutcome]], gone: list[str]) -> None:
         name, act = chance.choice(["chat", "view"]), chance.random()
         proxy.ids += 1
         reader, writer = await proxy.client()
@@ -54,25 +61,27 @@
             return
         with contextlib.suppress(ConnectionResetError):
             word = (await reader.readline()).strip().split(b" ")[0]
-            seen[name, KINDS.get(word, Verdict.ERROR)] += bool(word)
+            seen[name, KINDS.get(word, RequestOutcome.ERROR)] += bool(word)
         writer.close()
 
     async def test(proxy: Proxy) -> None:
-        seen: Counter[tuple[str, Verdict]] = Counter()
+        seen: Counter[tuple[str, RequestOutcome]] = Counter()
         gone: list[str] = []
         for turn in range(6):
             await asyncio.gather(*(client(proxy, seen, gone) for _ in range(10)))
             if turn == 3:
                 proxy.owner._recover(RuntimeError("a fault of the module"))
             if turn == 4:
-                proxy.owner.put(Drain(0, 0))
+                proxy.owner.post(BeginDrain(0, 0))
         await proxy.settle()
-        told = {line.split(":")[0]: int(line.split(":")[1].split("|")[0])
-                for line in proxy.context.figures.render(1, 0).splitlines()}  # fmt: skip
+        told = {
+            line.split(":")[0]: int(line.split(":")[1].split("|")[0])
+            for line in proxy.context.metrics.render(1, 0).splitlines()
+        }
         for name in ("chat", "view"):
-            counts = {verdict: told[f"proxy.{verdict.value}.{name}"] for verdict in Verdict}
-            assert all(counts[verdict] >= seen[name, verdict] for verdict in Verdict)
-            assert sum(counts.values()) - sum(seen[name, verdict] for verdict in Verdict) <= gone.count(name)
+            counts = {verdict: told[f"proxy.{verdict.value}.{name}"] for verdict in RequestOutcome}
+            assert all(counts[verdict] >= seen[name, verdict] for verdict in RequestOutcome)
+            assert sum(counts.values()) - sum(seen[name, verdict] for verdict in RequestOutcome) <= gone.count(name)
         # A client that leaves at once may take its attempt back before its line is read.
         assert len(proxy.asked) <= told["proxy.dispatches"] <= len(proxy.asked) + len(gone)
         assert told["proxy.concurrent"] == 0
@@ -85,13 +94,13 @@
     stand.fleet(a=0, b=0, c=0, d=0, e=0)
     for name in "abcde":
         stand.report(name, 0.1, 5)
-    assert stand.balancer.avoided(stand.now_us) == []
-    stand.event(ListUpdate(ListKind.DIFF, 2, (ServerEntry("a", Lifecycle.FADING),)))
+    assert stand.balancer.avoided_servers(stand.now_us) == []
+    stand.event(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (Endpoint("a", Lifecycle.DRAINING),)))
     stand.now_us += 1
     stand.event(Request("0" * 16, 0, 2_000_000))
     tried = stand.sent_to()
     assert tried is not None
-    stand.ended("0" * 16, tried, Status.DROPPED)
-    assert stand.balancer.avoided(stand.now_us) == sorted(["a", tried])
+    stand.ended("0" * 16, tried, AttemptStatus.DROPPED)
+    assert stand.balancer.avoided_servers(stand.now_us) == sorted(["a", tried])
     stand.now_us += 10_000_000
-    assert stand.balancer.avoided(stand.now_us) == ["a"]
+    assert stand.balancer.avoided_servers(stand.now_us) == ["a"]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,12 +12,12 @@
 from click.testing import CliRunner
 
 from stoatgw.cli.main import main, stoatgw
-from stoatgw.emulator.checker import Rule
-from stoatgw.emulator.events import Event, What, read_line
-from stoatgw.emulator.population import draw_population
-from stoatgw.emulator.scenario import load
-from stoatgw.emulator.streams import Streams
-from stoatgw.lab import play
+from stoatgw.emulator.checker.checker import Rule
+from stoatgw.emulator.world.events import Event, EventKind, read_line
+from stoatgw.emulator.world.population import draw_population
+from stoatgw.emulator.world.scenario import load
+from stoatgw.emulator.world.streams import Streams
+from stoatgw.lab import runner
 from stoatgw.lab.compare import compare, interval
 from stoatgw.lab.experiment import Experiment, LabError, find_scenario, read_results
 from stoatgw.lab.scorecard import Scorecard, overshoot, recovery_s, spread
@@ -50,7 +50,7 @@
 def test_an_interrupted_experiment_goes_on_where_it_stopped(tmp_path: Path) -> None:
     seen: list[int] = []
 
-    def interrupt(result: play.Result) -> None:
+    def interrupt(result: runner.Result) -> None:
         seen.append(result.seed)
         if len(seen) == 3:
             raise KeyboardInterrupt
@@ -173,11 +173,17 @@
     """Two real proxies, one restarted and one killed, before stand-ins: what crosses the wire keeps the rules."""
     day = load(
         find_scenario("calm"),
-        ("length_s=9", "proxies.count=2", "fleet.servers=4", "clients.load=0.25", "proxies.restart_s=[0.2, 0.3]",
-         "faults=[{kind='restart_proxies', at_s=1, every_s=60}, {kind='shrink', at_s=3, to=0.75, over_s=0.1},"
-         " {kind='kill_proxy', at_s=6, proxy=1, back_s=0.5}]"),
-    )  # fmt: skip
-    result = play.play_loopback(day, 1, tmp_path / "log.gz")
+        (
+            "length_s=9",
+            "proxies.count=2",
+            "fleet.servers=4",
+            "clients.load=0.25",
+            "proxies.restart_s=[0.2, 0.3]",
+            "faults=[{kind='restart_proxies', at_s=1, every_s=60}, {kind='shrink', at_s=3, to=0.75, over_s=0.1},"
+            " {kind='kill_proxy', at_s=6, proxy=1, back_s=0.5}]",
+        ),
+    )
+    result = runner.play_loopback(day, 1, tmp_path / "log.gz")
     events = [read_line(line) for line in gzip.decompress((tmp_path / "log.gz").read_bytes()).splitlines()]
     assert [text for text in result.broken if not any(rule.value in text for rule in TIMED)] == []
     assert result.counts["up"] > 30 and result.counts["moved"] > 5 and result.counts["sent"] > 5
@@ -193,7 +199,7 @@
     (real / "manifest.json").write_bytes((out / "manifest.json").read_bytes())
     for result in results:
         result.service["whole"] -= 0.3  # as though loopback had served less
-        (real / "runs" / f"{result.policy}-{result.seed}.json").write_bytes(play.encode(result))
+        (real / "runs" / f"{result.policy}-{result.seed}.json").write_bytes(runner.encode(result))
     assert CliRunner().invoke(stoatgw, ["lab", "overview", str(out), "--out", str(tmp_path / "o")]).exit_code == 0
     agree = ["lab", "agree", "--pair", str(out), str(real), "--out", str(tmp_path / "o")]
     assert CliRunner().invoke(stoatgw, agree).exit_code == 0
@@ -218,12 +224,16 @@
 
 def test_worth_lost_is_booked_on_its_cause() -> None:
     found = card(
-        (1_000_000, What.TAKEN, "n", "r", "", 0, "0"), (1_500_000, What.ANSWER, "n", "r", "", 0, "busy"),
-        (2_000_000, What.TAKEN, "n", "s", "", 0, "0"), (3_000_000, What.UP, "n", "s", "a", 0, "0"),
-        (8_000_000, What.MOVED, "n", "s", "", 0, "moved"), (9_000_000, What.UP, "n", "t", "b", 0, "0"),
-        (12_000_000, What.MOVED, "n", "t", "", 0, "moved"), (12_500_000, What.UP, "n", "u", "c", 0, "0"),
-        (15_000_000, What.OVER, "n", "u", "", 0, "broken"),
-    )  # fmt: skip
+        (1_000_000, EventKind.TAKEN, "n", "r", "", 0, "0"),
+        (1_500_000, EventKind.ANSWER, "n", "r", "", 0, "busy"),
+        (2_000_000, EventKind.TAKEN, "n", "s", "", 0, "0"),
+        (3_000_000, EventKind.UP, "n", "s", "a", 0, "0"),
+        (8_000_000, EventKind.MOVED, "n", "s", "", 0, "moved"),
+        (9_000_000, EventKind.UP, "n", "t", "b", 0, "0"),
+        (12_000_000, EventKind.MOVED, "n", "t", "", 0, "moved"),
+        (12_500_000, EventKind.UP, "n", "u", "c", 0, "0"),
+        (15_000_000, EventKind.OVER, "n", "u", "", 0, "broken"),
+    )
     figures = found.figures(np.full((1, 20), 2.0), np.full((1, 20), 1.0), {}, [])
     assert figures["lost_setting_up"] == pytest.approx(1.5 / 20)
     assert figures["lost_refused"] == pytest.approx(1.5 / 20)
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -9,8 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatgw.lines.grammar import Malformed, Open, Word, busy, field_pattern, read_open, read_reply
-from stoatgw.lines.splitter import LINE_CAP, Splitter
+from stoatgw.line_protocol.grammar import (
+    Keyword,
+    MalformedRequest,
+    SessionRequest,
+    busy,
+    field_pattern,
+    parse_reply,
+    parse_session_request,
+)
+from stoatgw.line_protocol.splitter import LINE_CAP, LineSplitter
 
 LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
@@ -24,7 +32,7 @@
 @FIXED
 @given(st.lists(st.text(string.printable.replace("\n", "").replace("\r", ""))), st.lists(st.integers(0, 999)))
 def test_lines_are_the_same_however_they_are_cut(texts: list[str], places: list[int]) -> None:
-    splitter, lines = Splitter(), [text.encode() for text in texts]
+    splitter, lines = LineSplitter(), [text.encode() for text in texts]
     data = b"".join(line + b"\r\n" for line in lines) + b"rest"
     assert [line for part in cut(data, places) for line in splitter.feed(part)] == lines
     assert splitter.rest == b"rest"
@@ -33,39 +41,44 @@
 @FIXED
 @given(st.lists(st.binary(max_size=6000), max_size=4))
 def test_the_splitter_keeps_no_more_than_a_line(parts: list[bytes]) -> None:
-    splitter = Splitter()
+    splitter = LineSplitter()
     for part in parts:
         assert all(len(line) < LINE_CAP for line in splitter.feed(part))
         assert len(splitter.rest) <= LINE_CAP
 
 
 def test_a_line_over_the_cap_is_never_given() -> None:
-    splitter = Splitter()
+    splitter = LineSplitter()
     assert splitter.feed(b"a\r\n" + b"x" * LINE_CAP + b"\r\nb\r\n") == [b"a"]
-    assert splitter.overlong and splitter.feed(b"c\r\n") == []
+    assert splitter.is_overlong and splitter.feed(b"c\r\n") == []
 
 
 @FIXED
 @given(st.binary(max_size=200))
 def test_garbage_is_malformed_never_an_exception(garbage: bytes) -> None:
-    assert isinstance(read_open(garbage), Malformed)
-    assert isinstance(read_open(b"OPEN " + garbage), Malformed)
-    read_reply(garbage)
+    assert isinstance(parse_session_request(garbage), MalformedRequest)
+    assert isinstance(parse_session_request(b"OPEN " + garbage), MalformedRequest)
+    parse_reply(garbage)
 
 
 @FIXED
 @given(st.integers(0, len(LINE) - 1), st.integers(0, 255))
 def test_a_byte_changed_is_read_or_malformed(place: int, byte: int) -> None:
     changed = LINE[:place] + bytes([byte]) + LINE[place + 1 :]
-    opened = read_open(changed)
-    if isinstance(opened, Open):
-        assert opened.forwarded(opened.wait_ms).startswith(b"OPEN ") and len(opened.request) == 16
+    opened = parse_session_request(changed)
+    if isinstance(opened, SessionRequest):
+        assert opened.forwarded(opened.wait_ms).startswith(b"OPEN ") and len(opened.request_id) == 16
 
 
 def test_only_d_changes_on_the_way() -> None:
-    opened = read_open(LINE + b",again=1,h=3.5,x=y")
-    assert isinstance(opened, Open)
-    assert (opened.profile, opened.wait_ms, opened.again, opened.retry) == ("chat", 2000, True, False)
+    opened = parse_session_request(LINE + b",again=1,h=3.5,x=y")
+    assert isinstance(opened, SessionRequest)
+    assert (opened.class_name, opened.wait_ms, opened.is_returning, opened.is_client_retry) == (
+        "chat",
+        2000,
+        True,
+        False,
+    )
     assert opened.forwarded(750) == LINE.replace(b"d=2000", b"d=750") + b",again=1,h=3.5,x=y\r\n"
 
 
@@ -83,12 +96,12 @@
     ],
 )
 def test_malformed_lines(line: bytes) -> None:
-    assert isinstance(read_open(line), Malformed)
+    assert isinstance(parse_session_request(line), MalformedRequest)
 
 
 def test_the_tenant_is_read_by_name_and_may_be_missing() -> None:
-    named, bare = read_open(LINE + b",t=sabah"), read_open(LINE)
-    assert isinstance(named, Open) and isinstance(bare, Open)
+    named, bare = parse_session_request(LINE + b",t=sabah"), parse_session_request(LINE)
+    assert isinstance(named, SessionRequest) and isinstance(bare, SessionRequest)
     assert (named.tenant, bare.tenant) == ("sabah", "")
 
 
@@ -99,9 +112,9 @@
 def test_names_of_the_settings_are_read_whatever_they_hold(name: str) -> None:
     # Guards against every client of a tenant called "north east" being answered ERR.
     head, fields = LINE.rpartition(b" ")[0], f"c={name},t={name},d=20,g=5c"
-    opened = read_open(head + b" " + fields.encode(), field_pattern(ODD))
-    assert isinstance(opened, Open)
-    assert (opened.profile, opened.tenant, opened.wait_ms) == (name, name, 20)
+    opened = parse_session_request(head + b" " + fields.encode(), field_pattern(ODD))
+    assert isinstance(opened, SessionRequest)
+    assert (opened.class_name, opened.tenant, opened.wait_ms) == (name, name, 20)
     assert opened.forwarded(7) == head + b" " + fields.replace("d=20", "d=7").encode() + b"\r\n"
 
 
@@ -109,12 +122,12 @@
 def test_no_other_value_holds_blanks_commas_or_more_than_ascii(name: str) -> None:
     head = LINE.rpartition(b" ")[0]
     for fields in (f"c={name},d=20", f"c=x,d=20,t={name}", f"c=x,d=20,g={name}"):
-        assert isinstance(read_open(head + b" " + fields.encode(), field_pattern(ODD)), Malformed)
+        assert isinstance(parse_session_request(head + b" " + fields.encode(), field_pattern(ODD)), MalformedRequest)
 
 
 def test_replies() -> None:
-    assert read_reply(b"UP 77f").word is Word.UP
-    assert read_reply(b"BUSY inflight=7,util=0.61").report == {"inflight": 7, "util": 0.61}
-    assert read_reply(b"UPPER").word is Word.OTHER
-    assert read_reply(b"BYE a=nan,=3,b,c=1e999,d=2").report == {"d": 2}
+    assert parse_reply(b"UP 77f").keyword is Keyword.UP
+    assert parse_reply(b"BUSY inflight=7,util=0.61").load_report == {"inflight": 7, "util": 0.61}
+    assert parse_reply(b"UPPER").keyword is Keyword.OTHER
+    assert parse_reply(b"BYE a=nan,=3,b,c=1e999,d=2").load_report == {"d": 2}
     assert (busy(0), busy(1_500_000), busy(1)) == (b"BUSY\r\n", b"BUSY 1500\r\n", b"BUSY 1\r\n")
--- a/tests/test_loss.py
+++ b/tests/test_loss.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from stoatgw.decisions.interface import Probe, ProbeResult, Refuse, Status
+from stoatgw.decisions.interface import AttemptStatus, CheckHealth, HealthCheckResult, Reject
 from tests.fleet import Stand, settings
 
 LOST = ("a0", "a1", "a2", "a3")
@@ -19,8 +19,8 @@
     return stand
 
 
-def fail(stand: Stand, server: str, status: Status = Status.DIAL_FAILED) -> None:
-    stand.event(ProbeResult(server, status, 250_000, ()))
+def fail(stand: Stand, server: str, status: AttemptStatus = AttemptStatus.DIAL_FAILED) -> None:
+    stand.event(HealthCheckResult(server, status, 250_000, ()))
 
 
 def test_servers_that_are_gone_stay_out_though_they_are_most_of_the_fleet() -> None:
@@ -31,8 +31,8 @@
     for name in LOST:
         server = stand.balancer._servers[name]
         server.ejected_until_us, server.setup_failures = stand.now_us + 4_000_000, 2
-    stand.balancer._heed()
-    assert not stand.balancer._fleet.heed_ejection
+    stand.balancer._fleet.update_panic_mode(stand.now_us)
+    assert not stand.balancer._fleet.honors_ejection
     stand.ask()
     assert stand.sent_to() in ("b0", "b1")
 
@@ -55,10 +55,10 @@
 def test_probes_sent_for_a_client_find_out_that_its_zone_is_lost() -> None:
     stand = two_zones()
     for name in LOST:
-        stand.told[name] = ProbeResult(name, Status.DIAL_FAILED, 250_000, ())
+        stand.told[name] = HealthCheckResult(name, AttemptStatus.DIAL_FAILED, 250_000, ())
     stand.ask()
     assert stand.sent_to() in ("b0", "b1")
-    assert {probe.server for probe in stand.of(Probe)} & set(LOST)
+    assert {probe.server for probe in stand.of(CheckHealth)} & set(LOST)
 
 
 def test_what_does_not_answer_is_still_tried_where_nothing_else_passes() -> None:
@@ -66,7 +66,7 @@
     for name in (*LOST, "b0", "b1"):
         fail(stand, name)
     stand.ask()
-    assert not stand.of(Refuse)
+    assert not stand.of(Reject)
 
 
 def admitted(stand: Stand, server: str) -> int:
@@ -80,7 +80,7 @@
 def test_a_server_back_empty_is_taken_for_cold_before_the_list_says_so() -> None:
     # Guards against 14 set-ups in one second at a server 0.4 s old that the list still called settled.
     stand = two_zones()
-    fail(stand, "a0", Status.DROPPED)
+    fail(stand, "a0", AttemptStatus.DROPPED)
     stand.now_us += 1_000_000
     stand.report("a0", 0.0, 0)
     assert stand.balancer._share(stand.balancer._servers["a0"]) < 0.3
@@ -92,6 +92,6 @@
 
 def test_a_server_that_was_cut_off_and_kept_its_connections_is_no_cold_one() -> None:
     stand = two_zones()
-    fail(stand, "a0", Status.EXPIRED)
+    fail(stand, "a0", AttemptStatus.EXPIRED)
     stand.report("a0", 0.2, 9)
     assert stand.balancer._share(stand.balancer._servers["a0"]) == 1.0
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -18,19 +18,19 @@
 from msgspec.structs import replace
 
 from stoatgw.config.deployment import ConfigError
-from stoatgw.config.maintenance import Plan
-from stoatgw.config.membership import Membership
-from stoatgw.config.operators import load_operators
+from stoatgw.config.maintenance import MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.config.operators import load_operator_config
 from stoatgw.emulator.engine.gateway import NotFoundError, answer
 from stoatgw.emulator.engine.store import Store
-from stoatgw.emulator.loopback.upkeep import Upkeep
-from stoatgw.maintenance.agent import Agent
-from stoatgw.maintenance.keys import Keys
-from stoatgw.maintenance.ledger import Ledger, LedgerError, State, Step, decode, encode
-from stoatgw.maintenance.record import Record, RecordError
-from stoatgw.maintenance.steward import Machine, Member, Sight, Steward
-from stoatgw.membership import words
-from stoatgw.membership.engine import Fault
+from stoatgw.emulator.loopback.maintenance_run import MaintenanceRun
+from stoatgw.maintenance.controller import MaintenanceController
+from stoatgw.maintenance.keys import MaintenanceKeys
+from stoatgw.maintenance.rollout_planner import FleetSnapshot, MachineStatus, ProxyMember, RolloutPlanner
+from stoatgw.maintenance.rollout_state import RolloutState, RolloutStateError, RolloutStep, StepState, decode, encode
+from stoatgw.maintenance.state_file import RolloutStateFile, RolloutStateFileError
+from stoatgw.membership import etcd_api
+from stoatgw.membership.client import CallFailure
 from stoatgw.telemetry.log import EventLog
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=200)
@@ -42,15 +42,15 @@
         pass
 
 
-def check(plan: Plan, zones: dict[str, str], ledgers: list[Ledger]) -> None:
+def check(plan: MaintenancePlan, zones: dict[str, str], ledgers: list[RolloutState]) -> None:
     """Reads nothing but the ledgers that were ever true: never too many out, each machine out once, ended once."""
-    for before, after in zip([Ledger(plan=plan.fingerprint), *ledgers], ledgers, strict=False):
+    for before, after in zip([RolloutState(plan=plan.fingerprint), *ledgers], ledgers, strict=False):
         out = [name for name in after.out() if name in zones]
         assert len(out) <= plan.out_most and len(after.out()) - len(out) <= plan.proxies_out_most
         for zone, size in Counter(zones.values()).items():
             assert sum(zones[name] == zone for name in out) <= plan.zone_share * size
         for name, step in before.steps.items():
-            assert name in after.steps and (step.state is State.OUT or after.steps[name] == step)
+            assert name in after.steps and (step.state is StepState.OUT or after.steps[name] == step)
     tokens = [step.token for step in ledgers[-1].steps.values()]
     assert tokens == sorted(tokens)  # an old holder begins nothing after a new one has
 
@@ -62,15 +62,20 @@
 @given(st.data())
 def test_whatever_happens_the_bounds_hold_and_each_machine_has_one_turn(data: st.DataObject) -> None:
     zones = {f"s-{place}": "ab"[place % 2] for place in range(data.draw(st.integers(1, 7)))}
-    plan = Plan(
-        name="p", machines=tuple(zones), out_most=data.draw(st.integers(1, 3)),
+    plan = MaintenancePlan(
+        name="p",
+        machines=tuple(zones),
+        out_most=data.draw(st.integers(1, 3)),
         done=data.draw(st.sampled_from(["empty", "restarted"])),
         zone_share=data.draw(st.sampled_from([0.34, 0.67, 1.0])),
-        members_least=1, step_s=30.0, settle_s=2.0, lapsed_s=5.0,
-    )  # fmt: skip
-    machines = {name: Machine(zone, True, 1) for name, zone in zones.items()}
-    members = {"n0": Member("n0", 0), "n1": Member("n1", 0)}
-    ledger, steward, now_us, held = Ledger(plan=plan.fingerprint), Steward(plan), 0, list[Ledger]()
+        members_least=1,
+        step_s=30.0,
+        settle_s=2.0,
+        lapsed_s=5.0,
+    )
+    machines = {name: MachineStatus(zone, True, 1) for name, zone in zones.items()}
+    members = {"n0": ProxyMember("n0", 0), "n1": ProxyMember("n1", 0)}
+    ledger, steward, now_us, held = RolloutState(plan=plan.fingerprint), RolloutPlanner(plan), 0, list[RolloutState]()
     acts = ["step", "step", "tell", "empty", "restart", "later", "lose", "back", "down", "up", "holder"]
     for act in data.draw(st.lists(st.sampled_from(acts), max_size=60)):
         now_us += SECOND // 2
@@ -79,24 +84,24 @@
         out = frozenset(ledger.out())
         match act:
             case "tell" if who in members:
-                members[who] = Member(who, 0, out, members[who].empty & out)
+                members[who] = ProxyMember(who, 0, out, members[who].empty & out)
             case "empty" if who in members:
-                members[who] = Member(who, 0, members[who].told, members[who].told)
+                members[who] = ProxyMember(who, 0, members[who].told, members[who].told)
             case "restart" if name in out and ledger.steps[name].empty:
-                machines[name] = Machine(zones[name], True, now_us)
+                machines[name] = MachineStatus(zones[name], True, now_us)
             case "later":
                 now_us += 10 * SECOND
             case "lose":
                 members.pop(who, None)
             case "back":
-                members.setdefault(who, Member(who, 0))
+                members.setdefault(who, ProxyMember(who, 0))
             case "down":
-                machines[name] = Machine(zones[name], False, 1)
+                machines[name] = MachineStatus(zones[name], False, 1)
             case "up":
-                machines[name] = Machine(zones[name], True, now_us)
+                machines[name] = MachineStatus(zones[name], True, now_us)
             case "holder":
-                steward = Steward(plan)
-        change = steward.next(ledger, Sight(machines, members), now_us) if act == "step" else None
+                steward = RolloutPlanner(plan)
+        change = steward.next(ledger, FleetSnapshot(machines, members), now_us) if act == "step" else None
         if change is not None:
             if change.event == "step_out":
                 # Those down by themselves count as well: the fleet cannot spare more.
@@ -111,41 +116,43 @@
         check(plan, zones, held)
 
 
-def step(**changes: object) -> Step:
-    return Step(**({"state": State.OUT, "token": 1, "at_ms": 0, "start_ms": 1, "must": ("n0", "n1")} | changes))  # type: ignore[arg-type]
+def step(**changes: object) -> RolloutStep:
+    return RolloutStep(
+        **({"state": StepState.OUT, "token": 1, "at_ms": 0, "start_ms": 1, "must": ("n0", "n1")} | changes)  # type: ignore[arg-type]
+    )
 
 
 def test_a_lost_proxy_is_waited_for_and_an_aborted_maintenance_brings_all_back() -> None:
-    plan = Plan(name="p", machines=("s-0", "s-1"), zone_share=1.0, lapsed_s=5.0, step_s=60.0)
-    machines = {"s-0": Machine("a", True, 1), "s-1": Machine("a", True, 1)}
-    sight = Sight(machines, {"n0": Member("n0", 0, frozenset(["s-0"]), frozenset(["s-0"]))})
-    ledger, steward = Ledger(plan=plan.fingerprint, steps={"s-0": step()}), Steward(plan)
+    plan = MaintenancePlan(name="p", machines=("s-0", "s-1"), zone_share=1.0, lapsed_s=5.0, step_s=60.0)
+    machines = {"s-0": MachineStatus("a", True, 1), "s-1": MachineStatus("a", True, 1)}
+    sight = FleetSnapshot(machines, {"n0": ProxyMember("n0", 0, frozenset(["s-0"]), frozenset(["s-0"]))})
+    ledger, steward = RolloutState(plan=plan.fingerprint, steps={"s-0": step()}), RolloutPlanner(plan)
     assert steward.next(ledger, sight, 0) is None and steward.next(ledger, sight, 5 * SECOND - 1) is None
     change = steward.next(ledger, sight, 5 * SECOND)
     assert change is not None and change.event == "step_told"
     # Another holder does not know for how long it has been lost, and waits anew.
-    assert Steward(plan).next(change.ledger, sight, 6 * SECOND) is None
-    late = Steward(plan)
+    assert RolloutPlanner(plan).next(change.ledger, sight, 6 * SECOND) is None
+    late = RolloutPlanner(plan)
     assert late.next(ledger, sight, 0) is None
-    assert (late.next(ledger, Sight(machines, {}), 60 * SECOND) or change).event == "step_late"
-    aborted = Ledger(plan=plan.fingerprint, steps={"s-0": step()}, aborted=True)
+    assert (late.next(ledger, FleetSnapshot(machines, {}), 60 * SECOND) or change).event == "step_late"
+    aborted = RolloutState(plan=plan.fingerprint, steps={"s-0": step()}, aborted=True)
     released = steward.next(aborted, sight, 7 * SECOND)
     assert released is not None and released.ledger.out() == [] and steward.next(released.ledger, sight, 9**12) is None
 
 
 def test_a_ledger_cut_or_changed_anywhere_is_refused_and_its_file_left_as_it_is(tmp_path: Path) -> None:
-    ledger = Ledger(plan="f", steps={"s-0": step(told=True)})
-    data, record = encode(ledger), Record(tmp_path, "p")
+    ledger = RolloutState(plan="f", steps={"s-0": step(told=True)})
+    data, record = encode(ledger), RolloutStateFile(tmp_path, "p")
     assert record.load() is None
     record.save(ledger)
     assert record.load() == decode(data) == ledger
     for place in range(len(data)):
         for bad in (data[:place], data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]):
-            with pytest.raises(LedgerError):
+            with pytest.raises(RolloutStateError):
                 decode(bad)
     file = tmp_path / "stoatgw-maintenance-p"
     file.write_bytes(data[:-1])
-    with pytest.raises(RecordError, match="stoatgw-maintenance-p: is no ledger"):
+    with pytest.raises(RolloutStateFileError, match="stoatgw-maintenance-p: is no ledger"):
         record.load()
     assert file.read_bytes() == data[:-1]
 
@@ -170,7 +177,7 @@
     file = tmp_path / "own.toml"
     file.write_text("version = 1\n" + text)
     with pytest.raises(ConfigError) as fault:
-        load_operators(str(file))
+        load_operator_config(str(file))
     assert field in str(fault.value) and str(file) in str(fault.value) and "\n" not in str(fault.value)
 
 
@@ -180,57 +187,72 @@
 class Pause:
     """Hands a call out of the agent, to whoever drives it."""
 
-    def __init__(self, path: str, body: words.Body) -> None:
+    def __init__(self, path: str, body: etcd_api.Body) -> None:
         self.call = path, body
 
-    def __await__(self) -> Generator[tuple[str, words.Body], words.Body | Fault, words.Body | Fault]:
+    def __await__(
+        self,
+    ) -> Generator[tuple[str, etcd_api.Body], etcd_api.Body | CallFailure, etcd_api.Body | CallFailure]:
         return (yield self.call)
 
 
 class Wire:
-    async def call(self, path: str, body: words.Body) -> words.Body | Fault:
+    async def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
         return await Pause(path, body)
 
 
 class FakeHands:
-    def __init__(self, machines: dict[str, Machine]) -> None:
+    def __init__(self, machines: dict[str, MachineStatus]) -> None:
         self._machines = machines
 
     def take_out(self, servers: dict[str, int]) -> None: ...
     def drain(self) -> None: ...
-    def activate(self) -> None: ...
+    def cancel_drain(self) -> None: ...
 
-    def holds(self, server: str) -> int:
+    def connections_to(self, server: str) -> int:
         return 0
 
     def clients(self) -> int:
         return 0
 
-    def machines(self) -> dict[str, Machine]:
+    def machine_statuses(self) -> dict[str, MachineStatus]:
         return self._machines
 
 
 class World:
     """Agents that look when told to, and a store that carries their calls out when told to."""
 
-    PLAN = Plan(name="p", machines=("s-0", "s-1", "s-2"), zone_share=1.0, settle_s=0.0, lapsed_s=1.0, step_s=9.0)
+    PLAN = MaintenancePlan(
+        name="p", machines=("s-0", "s-1", "s-2"), zone_share=1.0, settle_s=0.0, lapsed_s=1.0, step_s=9.0
+    )
 
     def __init__(self, folder: Path, count: int) -> None:
         self.now_us, self.store, self.folder = SECOND, Store(), folder
-        self.machines = {name: Machine("a", True, 1) for name in self.PLAN.machines}
-        self.keys, self.history, self.change = Keys("stoatgw", "p"), list[Ledger](), 0
+        self.machines = {name: MachineStatus("a", True, 1) for name in self.PLAN.machines}
+        self.keys, self.history, self.change = MaintenanceKeys("stoatgw", "p"), list[RolloutState](), 0
         self.agents = [self.agent(place) for place in range(count)]
         self.looks: list[Coroutine[Any, Any, None] | None] = [None] * count
-        self.asked: list[tuple[str, words.Body] | None] = [None] * count
-        self.answers: list[words.Body | Fault | None] = [None] * count
+        self.asked: list[tuple[str, etcd_api.Body] | None] = [None] * count
+        self.answers: list[etcd_api.Body | CallFailure | None] = [None] * count
 
-    def agent(self, place: int) -> Agent:
+    def agent(self, place: int) -> MaintenanceController:
         folder = self.folder / str(place)
         folder.mkdir(exist_ok=True)
-        told = Membership(engine=("127.0.0.1:1",), lease_s=3, look_ms=100, call_ms=400)
-        agent = Agent(told, self.PLAN, f"n{place}", Wire(), FakeHands(self.machines), str(folder), lambda: self.now_us,
-                      lambda: self.now_us, Silent("n"), Random(place), str(self.now_us))  # fmt: skip
-        agent.begin()
+        told = MembershipConfig(engine=("127.0.0.1:1",), lease_s=3, look_ms=100, call_ms=400)
+        agent = MaintenanceController(
+            told,
+            self.PLAN,
+            f"n{place}",
+            Wire(),
+            FakeHands(self.machines),
+            str(folder),
+            lambda: self.now_us,
+            lambda: self.now_us,
+            Silent("n"),
+            Random(place),
+            str(self.now_us),
+        )
+        agent.start()
         return agent
 
     def restart(self, place: int) -> None:
@@ -242,7 +264,7 @@
         """On to the next call, or to the look's end."""
         look, answer = self.looks[place], self.answers[place]
         if look is None:
-            look = self.looks[place] = self.agents[place].look()
+            look = self.looks[place] = self.agents[place].reconcile()
         elif answer is None:
             return
         self.answers[place] = None
@@ -257,10 +279,10 @@
         if self.looks[place] is None or self.answers[place] is not None or call is None:
             return
         try:
-            found: words.Body | Fault = answer(self.store, *call, self.now_us)
+            found: etcd_api.Body | CallFailure = answer(self.store, *call, self.now_us)
         except NotFoundError as error:
-            found = Fault(str(error), sent=True)
-        self.answers[place] = Fault("lost", sent=True) if lost else found
+            found = CallFailure(str(error), may_have_run=True)
+        self.answers[place] = CallFailure("lost", may_have_run=True) if lost else found
         entry = self.store.entries.get(self.keys.ledger.encode())
         if entry is not None and entry.change != self.change:
             self.change = entry.change
@@ -269,8 +291,8 @@
     def work(self) -> None:
         """Staff restart what is empty."""
         for name, each in self.history[-1].steps.items() if self.history else ():
-            if each.state is State.OUT and each.empty:
-                self.machines[name] = Machine("a", True, self.now_us)
+            if each.state is StepState.OUT and each.empty:
+                self.machines[name] = MachineStatus("a", True, self.now_us)
 
     def whole(self, place: int) -> None:
         """One look from where it stands to its end, with nothing lost."""
@@ -286,7 +308,7 @@
 
 
 ACTS = [*["go", "carry", "whole", "later"] * 8, "lose", "drop", "long", "restart", *["work"] * 2]
-REACHED: Counter[State] = Counter()
+REACHED: Counter[StepState] = Counter()
 
 
 @pytest.mark.parametrize("seed", range(40))
@@ -301,7 +323,7 @@
             case "carry" | "lose":
                 world.carry(place, lost=act == "lose")
             case "drop" if world.looks[place] is not None and world.answers[place] is None:
-                world.answers[place] = Fault("never came", sent=True)
+                world.answers[place] = CallFailure("never came", may_have_run=True)
             case "whole":
                 world.whole(place)
             case "later" | "long":
@@ -315,7 +337,7 @@
 
 
 def test_the_walks_before_have_reached_all_ends() -> None:
-    assert {State.OUT, State.DONE} <= REACHED.keys()
+    assert {StepState.OUT, StepState.DONE} <= REACHED.keys()
 
 
 def stands_before_its_write(world: World) -> None:
@@ -352,7 +374,7 @@
     world = World(tmp_path, 2)
     stands_before_its_write(world)
     aborted = encode(replace(world.history[-1], aborted=True))
-    answer(world.store, words.TXN, words.txn([], [words.put(world.keys.ledger, aborted)]), world.now_us)
+    answer(world.store, etcd_api.TXN, etcd_api.txn([], [etcd_api.put(world.keys.ledger, aborted)]), world.now_us)
     world.carry(0)
     assert world.history[-1].aborted and not world.history[-1].out()
     for _ in range(20):
@@ -361,31 +383,37 @@
     assert not world.history[-1].out()
 
 
-def _keys(asked: tuple[str, words.Body] | None) -> list[str]:
+def _keys(asked: tuple[str, etcd_api.Body] | None) -> list[str]:
     steps = asked[1].get("success", []) if asked else []
     return [b64decode(each["request_put"]["key"]).decode() for each in steps if "request_put" in each]
 
 
 # Real processes: three proxies, the stand-in engine, and a fault between them.
 
-PLAN = Plan(
-    name="p", machines=("s-0", "s-1", "s-2", "s-3"), out_most=2, zone_share=0.5, members_least=1, step_s=60.0,
-    settle_s=0.2, lapsed_s=1.5,
-)  # fmt: skip
+PLAN = MaintenancePlan(
+    name="p",
+    machines=("s-0", "s-1", "s-2", "s-3"),
+    out_most=2,
+    zone_share=0.5,
+    members_least=1,
+    step_s=60.0,
+    settle_s=0.2,
+    lapsed_s=1.5,
+)
 
 
-def begun(up: Upkeep) -> Awaitable[object]:
+def begun(up: MaintenanceRun) -> Awaitable[object]:
     """A step is under way, and all proxies know of it."""
     return up.until(lambda look: look.ledger is not None and any(look.ledger.steps[n].told for n in look.ledger.out()))
 
 
-async def leader_killed(up: Upkeep) -> None:
+async def leader_killed(up: MaintenanceRun) -> None:
     await begun(up)
     look = await up.until(lambda look: look.token > 0)
     await up.kill_proxy(up.leader(look))
 
 
-async def leader_frozen(up: Upkeep) -> None:
+async def leader_frozen(up: MaintenanceRun) -> None:
     await begun(up)
     look = await up.until(lambda look: look.token > 0)
     place = up.leader(look)
@@ -395,7 +423,7 @@
     up.proxies[place].send(signal.SIGCONT)
 
 
-async def leader_cut_off(up: Upkeep) -> None:
+async def leader_cut_off(up: MaintenanceRun) -> None:
     await begun(up)
     look = await up.until(lambda look: look.token > 0)
     place = up.leader(look)
@@ -404,32 +432,37 @@
     up.links[place].cut = False
 
 
-async def answers_lost(up: Upkeep) -> None:
+async def answers_lost(up: MaintenanceRun) -> None:
     await begun(up)
     for _ in range(3):
         await up.fault({"lose": 2})
         await asyncio.sleep(0.3)
 
 
-async def engine_restarted(up: Upkeep) -> None:
+async def engine_restarted(up: MaintenanceRun) -> None:
     await begun(up)
     await up.restart_engine()
 
 
-async def engine_disk_full(up: Upkeep) -> None:
+async def engine_disk_full(up: MaintenanceRun) -> None:
     await begun(up)
     await up.restart_engine(full_disk=True)
     await asyncio.sleep(1.0)
     await up.restart_engine()
 
 
-async def nothing(up: Upkeep) -> None:
+async def nothing(up: MaintenanceRun) -> None:
     pass
 
 
-def play(folder: Path, plan: Plan, test: Callable[[Upkeep], Awaitable[None]], full_disks: tuple[int, ...] = ()) -> None:
+def play(
+    folder: Path,
+    plan: MaintenancePlan,
+    test: Callable[[MaintenanceRun], Awaitable[None]],
+    full_disks: tuple[int, ...] = (),
+) -> None:
     async def run() -> None:
-        async with Upkeep(folder, plan, servers=4, full_disks=full_disks) as up, asyncio.timeout(90):
+        async with MaintenanceRun(folder, plan, servers=4, full_disks=full_disks) as up, asyncio.timeout(90):
             await test(up)
 
     asyncio.run(run())
@@ -439,12 +472,12 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_a_maintenance_goes_on_through(fault: Callable[[Upkeep], Awaitable[None]], tmp_path: Path) -> None:
-    async def test(up: Upkeep) -> None:
+def test_a_maintenance_goes_on_through(fault: Callable[[MaintenanceRun], Awaitable[None]], tmp_path: Path) -> None:
+    async def test(up: MaintenanceRun) -> None:
         await fault(up)
         last = await up.finished()
         check(PLAN, {server.name: server.zone for server in up.servers}, up.ledgers())
-        assert [each.state for each in last.steps.values()] == [State.DONE] * 4
+        assert [each.state for each in last.steps.values()] == [StepState.DONE] * 4
         # By those who did the work, whatever the ledger says: each machine once, never three at a time.
         assert up.worked == Counter(PLAN.machines) and up.most_worked <= PLAN.out_most
         assert up.tally.lost == 0 and set(up.tally.answers) <= {"UP", "BUSY"}
@@ -453,12 +486,14 @@
 
 
 def test_a_proxy_is_drained_replaced_and_serves_again_and_one_with_a_full_disk_takes_part(tmp_path: Path) -> None:
-    plan = Plan(name="p", machines=("proxy/n1", "s-0", "proxy/n2"), zone_share=0.5, settle_s=0.0, lapsed_s=1.5)
+    plan = MaintenancePlan(
+        name="p", machines=("proxy/n1", "s-0", "proxy/n2"), zone_share=0.5, settle_s=0.0, lapsed_s=1.5
+    )
 
-    async def test(up: Upkeep) -> None:
+    async def test(up: MaintenanceRun) -> None:
         last = await up.finished()
         check(plan, {server.name: server.zone for server in up.servers}, up.ledgers())
-        assert [each.state for each in last.steps.values()] == [State.DONE] * 3
+        assert [each.state for each in last.steps.values()] == [StepState.DONE] * 3
         assert up.worked == Counter(plan.machines) and up.tally.lost == 0
         assert len(up.proxies[0].told("maintenance_not_kept")) == 1  # a lasting trouble is told once
         assert up.proxies[1].told("drain") and len(up.proxies[1].told("stopped")) == 1
@@ -467,14 +502,14 @@
 
 
 def test_an_abort_by_command_brings_all_back_and_the_status_tells(tmp_path: Path) -> None:
-    async def command(up: Upkeep, word: str) -> tuple[int, str]:
+    async def command(up: MaintenanceRun, word: str) -> tuple[int, str]:
         arguments = ["maintain", word, "--config", str(up.folder / "own-0.toml")]
         called = [sys.executable, "-m", "stoatgw", *arguments]
         program = await asyncio.create_subprocess_exec(*called, stdout=-1, stderr=-1)
         out, err = await program.communicate()
         return program.returncode or 0, (out + err).decode()
 
-    async def test(up: Upkeep) -> None:
+    async def test(up: MaintenanceRun) -> None:
         await begun(up)
         assert (await command(up, "plan"))[1].count("s-") == 4
         assert (await command(up, "abort"))[0] == 0
@@ -490,9 +525,9 @@
 
 
 def test_an_engine_that_lost_everything_halts_it_and_nothing_is_done_again(tmp_path: Path) -> None:
-    async def test(up: Upkeep) -> None:
+    async def test(up: MaintenanceRun) -> None:
         await begun(up)
-        await up.until(lambda look: any(each.state is State.DONE for each in look.ledger.steps.values()))  # type: ignore[union-attr]
+        await up.until(lambda look: any(each.state is StepState.DONE for each in look.ledger.steps.values()))  # type: ignore[union-attr]
         await up.restart_engine(empty=True)
         while not all(proxy.told("maintenance_halted") or proxy.told("maintenance_stale") for proxy in up.proxies):
             await asyncio.sleep(0.05)
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from stoatgw.config.deployment import Address
-from stoatgw.management.calls import Deed, Order, read_call
-from stoatgw.management.http import CALL_CAP, Answer, Call, CallReader
+from stoatgw.management.http import CALL_CAP, HttpRequest, HttpRequestParser, HttpResponse
 from stoatgw.management.listener import CALLERS_MOST, ManagementListener
+from stoatgw.management.routes import Operation, OperationRequest, parse_operation
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.test_lines import cut
@@ -25,34 +25,34 @@
 @FIXED
 @given(st.lists(st.integers(0, len(DRAIN))), st.binary(max_size=40))
 def test_a_call_reads_the_same_however_it_is_cut_and_whatever_follows(places: list[int], more: bytes) -> None:
-    reader = CallReader()
+    reader = HttpRequestParser()
     got = [reader.feed(part) for part in cut(DRAIN, places)]
-    assert got[-1] == Call("POST", "/v1/proxy/drain") and not any(got[:-1])
+    assert got[-1] == HttpRequest("POST", "/v1/proxy/drain") and not any(got[:-1])
     assert reader.feed(more) == got[-1] if more else True
 
 
 @FIXED
 @given(st.binary(min_size=1, max_size=300))
 def test_garbage_is_answered_or_waited_for_and_never_a_call_of_ours(data: bytes) -> None:
-    got = CallReader().feed(data)
-    assert got is None or (isinstance(got, Answer) and got.status == 400)
+    got = HttpRequestParser().feed(data)
+    assert got is None or (isinstance(got, HttpResponse) and got.status == 400)
 
 
 def test_a_call_too_long_is_refused_before_it_is_whole() -> None:
-    reader = CallReader()
+    reader = HttpRequestParser()
     assert reader.feed(b"GET /v1/readyz HTTP/1.1\r\nHost: ") is None
     got = reader.feed(b"a" * CALL_CAP)
-    assert isinstance(got, Answer) and got.status in (400, 413)
+    assert isinstance(got, HttpResponse) and got.status in (400, 413)
 
 
 @pytest.mark.parametrize(
     ("method", "path", "wanted"),
     [
-        ("GET", "/v1/readyz", Order(Deed.READY)),
-        ("GET", "/v1/metrics", Order(Deed.METRICS)),
-        ("POST", "/v1/session-servers/s%2D5%2f/suspend", Order(Deed.SUSPEND, "s-5/")),
-        ("POST", "/v1/session-servers/resume/resume", Order(Deed.RESUME, "resume")),
-        ("POST", "/v1/proxy/activate", Order(Deed.ACTIVATE)),
+        ("GET", "/v1/readyz", OperationRequest(Operation.READY)),
+        ("GET", "/v1/metrics", OperationRequest(Operation.METRICS)),
+        ("POST", "/v1/session-servers/s%2D5%2f/suspend", OperationRequest(Operation.SUSPEND, "s-5/")),
+        ("POST", "/v1/session-servers/resume/resume", OperationRequest(Operation.RESUME, "resume")),
+        ("POST", "/v1/proxy/activate", OperationRequest(Operation.ACTIVATE)),
         ("GET", "/v1/proxy/drain", 405),
         ("POST", "/v1/readyz", 405),
         ("GET", "/v1/readyz/", 404),
@@ -60,16 +60,16 @@
         ("POST", "/v1/session-servers/%ff/suspend", 400),
     ],
 )
-def test_which_call_it_is(method: str, path: str, wanted: Order | int) -> None:
-    got = read_call(Call(method, path))
-    assert (got.status if isinstance(got, Answer) else got) == wanted
+def test_which_call_it_is(method: str, path: str, wanted: OperationRequest | int) -> None:
+    got = parse_operation(HttpRequest(method, path))
+    assert (got.status if isinstance(got, HttpResponse) else got) == wanted
 
 
 class Desk:
-    def take(self, order: Order) -> Answer:
-        if order.deed is Deed.RESUME:
+    def execute(self, order: OperationRequest) -> HttpResponse:
+        if order.operation is Operation.RESUME:
             raise RuntimeError("broken")
-        return Answer(200, f"yes: {order.deed.value} {order.server}\n")
+        return HttpResponse(200, f"yes: {order.operation.value} {order.server}\n")
 
 
 async def call(port: int, data: bytes, *, end: bool = False) -> bytes:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,18 +7,26 @@
 
 import pytest
 
-from stoatgw.membership.claim import Answer, Ask, Claim, Found, Held, Refused, Unknown
-from stoatgw.membership.fence import Fence
+from stoatgw.membership.fencing import FencingGuard
+from stoatgw.membership.lease_state import (
+    LeaseCall,
+    LeaseDenied,
+    LeaseFound,
+    LeaseGranted,
+    LeaseOutcomeUnknown,
+    LeaseResult,
+    LeaseState,
+)
 
 TERM, GUARD, LAST, TOKENS = 2, 1, 3, 2
-NEW, OPEN = Claim(GUARD), Fence()
+NEW, OPEN = LeaseState(GUARD), FencingGuard()
 
 
 @dataclass(frozen=True)
 class Instance:
-    claim: Claim = NEW
-    to: Ask | None = None  # a call on its way to the engine
-    back: Answer | None = None  # an answer on its way
+    claim: LeaseState = NEW
+    to: LeaseCall | None = None  # a call on its way to the engine
+    back: LeaseResult | None = None  # an answer on its way
     act: int = 0  # an act that was allowed and is not carried out yet: frozen in between
 
 
@@ -29,7 +37,7 @@
     holder: int = -1
     token: int = 0
     expires: int = 0
-    fence: Fence = OPEN
+    fence: FencingGuard = OPEN
     last: int = 0  # token of the newest act that took effect
 
 
@@ -43,26 +51,26 @@
     """One of the worlds from which the same can follow: what is over or unused is zero, and names do not matter."""
     each = []
     for index, one in enumerate(world.instances):
-        until = one.claim.until_us if one.claim.until_us > world.now else 0
-        sent = one.claim.sent_us if one.claim.asked else 0
+        until = one.claim.valid_until_us if one.claim.valid_until_us > world.now else 0
+        sent = one.claim.sent_us if one.claim.pending_call else 0
         mine = index == world.holder and world.expires > world.now
-        each.append((replace(one, claim=replace(one.claim, until_us=until, sent_us=sent)), mine))
+        each.append((replace(one, claim=replace(one.claim, valid_until_us=until, sent_us=sent)), mine))
     each.sort(key=repr)
     holder = next((index for index, (_, mine) in enumerate(each) if mine), -1)
     return replace(world, instances=tuple(one for one, _ in each), holder=holder, expires=world.expires * (holder >= 0))
 
 
-def engine(world: World, index: int, call: Ask) -> tuple[World, Answer]:
+def engine(world: World, index: int, call: LeaseCall) -> tuple[World, LeaseResult]:
     held = world.now < world.expires
     mine = held and world.holder == index
-    if call is Ask.LOOK:
-        return world, Found(world.token) if mine else Refused()
-    if call is Ask.ACQUIRE and not held:
+    if call is LeaseCall.LOOK:
+        return world, LeaseFound(world.token) if mine else LeaseDenied()
+    if call is LeaseCall.ACQUIRE and not held:
         after = replace(world, holder=index, token=world.token + 1, expires=world.now + TERM)
-        return after, Held(after.token, TERM)
-    if call is Ask.RENEW and mine and world.instances[index].claim.token == world.token:
-        return replace(world, expires=world.now + TERM), Held(world.token, TERM)
-    return world, Refused()
+        return after, LeaseGranted(after.token, TERM)
+    if call is LeaseCall.RENEW and mine and world.instances[index].claim.token == world.token:
+        return replace(world, expires=world.now + TERM), LeaseGranted(world.token, TERM)
+    return world, LeaseDenied()
 
 
 def steps(world: World, fenced: bool) -> Iterator[World]:
@@ -70,20 +78,22 @@
     if world.now < LAST:
         yield replace(world, now=world.now + 1)
     for index, one in enumerate(world.instances):
-        if one.to is None and one.back is None and (one.claim.token or one.claim.unsure or world.token < TOKENS):
-            claim, call = one.claim.ask(world.now)
+        if one.to is None and one.back is None and (one.claim.token or one.claim.is_uncertain or world.token < TOKENS):
+            claim, call = one.claim.next_call(world.now)
             yield put(world, index, replace(one, claim=claim, to=call))
         if one.to is not None:
             after, answer = engine(world, index, one.to)
             yield put(after, index, replace(one, to=None, back=answer))
-            yield put(after, index, replace(one, to=None, back=Unknown()))  # carried out; the answer is lost
-            yield put(world, index, replace(one, to=None, back=Unknown()))  # never came
+            yield put(
+                after, index, replace(one, to=None, back=LeaseOutcomeUnknown())
+            )  # carried out; the answer is lost
+            yield put(world, index, replace(one, to=None, back=LeaseOutcomeUnknown()))  # never came
         if one.back is not None:
-            yield put(world, index, replace(one, claim=one.claim.answered(one.back), back=None))
+            yield put(world, index, replace(one, claim=one.claim.record_result(one.back), back=None))
         if one.act:
             fence, taken = world.fence.admit(one.act) if fenced else (world.fence, True)
             yield put(replace(world, fence=fence, last=one.act if taken else world.last), index, replace(one, act=0))
-        elif token := one.claim.acts(world.now):
+        elif token := one.claim.valid_token(world.now):
             yield put(world, index, replace(one, act=token))
 
 
@@ -94,7 +104,7 @@
     while todo:
         world = todo.pop()
         for after in map(plain, steps(world, fenced)):
-            if sum(one.claim.acts(after.now) > 0 for one in after.instances) > 1:
+            if sum(one.claim.valid_token(after.now) > 0 for one in after.instances) > 1:
                 return len(seen), {"two may act at once"}
             if after.last < world.last:
                 return len(seen), {"an act of an old token took effect"}
@@ -123,11 +133,11 @@
 
 def test_a_term_that_counts_from_the_answer_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
     """The fault that the exploration is there for: the holder's time begins when the answer comes."""
-    answered = Claim.answered
+    answered = LeaseState.record_result
 
-    def late(self: Claim, answer: Answer) -> Claim:
+    def late(self: LeaseState, answer: LeaseResult) -> LeaseState:
         claim = answered(self, answer)
-        return replace(claim, until_us=claim.until_us + 2) if isinstance(answer, Held) else claim
+        return replace(claim, valid_until_us=claim.valid_until_us + 2) if isinstance(answer, LeaseGranted) else claim
 
-    monkeypatch.setattr(Claim, "answered", late)
+    monkeypatch.setattr(LeaseState, "record_result", late)
     assert explore(2)[1] == {"two may act at once"}
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -11,28 +11,36 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stoatgw.decisions.balancer import Balancer
-from stoatgw.decisions.interface import Event, ListKind, ListUpdate, Profile, Request, ServerEntry, Status
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.course import Course, Stage
-from stoatgw.owner.messages import (
-    Activate,
-    Arrived,
+from stoatgw.clock import Clock
+from stoatgw.controller.controller import Controller
+from stoatgw.controller.graceful_shutdown import plan_shutdown
+from stoatgw.controller.lifecycle import LifecycleState, ProxyLifecycle
+from stoatgw.controller.messages import (
     AttemptEnd,
     AttemptEnded,
-    AttemptUp,
-    ClientLeft,
-    Drain,
-    Listed,
+    AttemptEstablished,
+    AttemptStage,
+    BeginDrain,
+    CancelDrain,
+    ClientDisconnected,
+    EndpointsUpdated,
+    HealthCheckCompleted,
     Message,
-    Overdue,
-    Probed,
-    Req,
-    Stood,
+    RequestReceived,
+    RequestState,
+    RequestTimedOut,
+    SessionRestored,
+)
+from stoatgw.decisions.balancer import Balancer
+from stoatgw.decisions.interface import (
+    AttemptStatus,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
+    Event,
+    Request,
+    RequestClass,
 )
-from stoatgw.owner.messages import Stage as AttemptStage
-from stoatgw.owner.owner import Owner
-from stoatgw.owner.stopping import stopping
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.fleet import settings
@@ -42,13 +50,13 @@
     def __init__(self) -> None:
         self.done: list[Any] = []
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         self.done.append(("probe", server))
 
     def close_idle(self, server: str) -> None:
         self.done.append(("close_idle", server))
 
-    def fetch_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         self.done.append("fetch_list")
 
 
@@ -58,46 +66,46 @@
     def __init__(self) -> None:
         self.told: list[Any] = []
 
-    def begin(self, attempt: int, server: str, cut_at_us: int) -> None:
+    def start_attempt(self, attempt: int, server: str, cut_at_us: int) -> None:
         self.told.append(("fetch", attempt, server))
 
-    def cancel(self, attempt: int) -> None:
+    def cancel_attempt(self, attempt: int) -> None:
         self.told.append("cancel")
 
-    def refuse(self, retry_after_us: int) -> None:
+    def reject(self, retry_after_us: int) -> None:
         self.told.append(("busy", retry_after_us))
 
     def fail(self) -> None:
         self.told.append("failed")
 
-    def move(self) -> None:
+    def migrate(self) -> None:
         self.told.append("move")
 
 
 class Stand:
     def __init__(self) -> None:
         self.clock, self.counters, self.backstage = Clock(), Counters(), Backstage()
-        self.owner = Owner(settings(), 7, self.clock, EventLog("test"), self.counters)
+        self.owner = Controller(settings(), 7, self.clock, EventLog("test"), self.counters)
         self.owner.start(self.backstage)
         self.asked = 0
 
     async def take(self, *messages: Message) -> None:
         for message in messages:
-            self.owner.put(message)
+            self.owner.post(message)
         task = asyncio.get_running_loop().create_task(self.owner.run())
         for _ in range(3):
             await asyncio.sleep(0)
         task.cancel()
 
     async def servers(self, *names: str) -> None:
-        entries = tuple(ServerEntry(name) for name in names)
-        await self.take(Listed(ListUpdate(ListKind.SNAPSHOT, 1, entries)))
+        entries = tuple(Endpoint(name) for name in names)
+        await self.take(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, entries)))
 
-    def req(self) -> tuple[Req, Door]:
+    def req(self) -> tuple[RequestState, Door]:
         self.asked += 1
         door = Door()
         asked = Request(f"{self.asked:016x}", 0, 2_000_000)
-        return Req(asked, self.clock.now_us() + 2_000_000, door), door
+        return RequestState(asked, self.clock.now_us() + 2_000_000, door), door
 
 
 def drive(play: Callable[[Stand], Any]) -> None:
@@ -107,7 +115,7 @@
     asyncio.run(run())
 
 
-def end(status: Status, stage: AttemptStage) -> AttemptEnd:
+def end(status: AttemptStatus, stage: AttemptStage) -> AttemptEnd:
     return AttemptEnd(status, stage)
 
 
@@ -115,12 +123,12 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a", "b", "c")
         req, door = stand.req()
-        await stand.take(Arrived(req))
-        await stand.take(AttemptEnded(req, 0, end(Status.DIAL_FAILED, AttemptStage.CONNECTING)))
-        await stand.take(AttemptEnded(req, 1, end(Status.DIAL_FAILED, AttemptStage.CONNECTING)))
+        await stand.take(RequestReceived(req))
+        await stand.take(AttemptEnded(req, 0, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
+        await stand.take(AttemptEnded(req, 1, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
         (first, second, last) = door.told
         assert (first[:2], second[:2]) == (("fetch", 0), ("fetch", 1)) and first[2] != second[2]
-        assert last == ("busy", 1_000_000) and stand.owner.open == 0
+        assert last == ("busy", 1_000_000) and stand.owner.open_requests == 0
 
     drive(play)
 
@@ -129,8 +137,8 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a", "b", "c")
         req, door = stand.req()
-        await stand.take(Arrived(req))
-        ended = AttemptEnded(req, 0, end(Status.SHED, AttemptStage.SENT))
+        await stand.take(RequestReceived(req))
+        ended = AttemptEnded(req, 0, end(AttemptStatus.SHED, AttemptStage.SENT))
         await stand.take(ended, ended)
         assert len(door.told) == 2 and stand.counters["fetches_shed"] == 1
 
@@ -142,11 +150,11 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a")
         req, door = stand.req()
-        await stand.take(Arrived(req))
+        await stand.take(RequestReceived(req))
         if up:
-            await stand.take(AttemptUp(req, 0))
-        await stand.take(ClientLeft(req), AttemptEnded(req, 0, end(Status.REVOKED, AttemptStage.SENT)))
-        assert stand.owner.open == 0 and len(door.told) == 1
+            await stand.take(AttemptEstablished(req, 0))
+        await stand.take(ClientDisconnected(req), AttemptEnded(req, 0, end(AttemptStatus.REVOKED, AttemptStage.SENT)))
+        assert stand.owner.open_requests == 0 and len(door.told) == 1
 
     drive(play)
 
@@ -154,7 +162,7 @@
 def test_no_server_at_all_is_answered_at_once() -> None:
     async def play(stand: Stand) -> None:
         req, door = stand.req()
-        await stand.take(Arrived(req))
+        await stand.take(RequestReceived(req))
         assert door.told == [("busy", 1_000_000)]
 
     drive(play)
@@ -164,11 +172,11 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a", "b")
         (waits, one), (stands, two), (comes, three) = stand.req(), stand.req(), stand.req()
-        await stand.take(Arrived(waits), Stood(stands, "a"), Drain(0, 0), Arrived(comes))
+        await stand.take(RequestReceived(waits), SessionRestored(stands, "a"), BeginDrain(0, 0), RequestReceived(comes))
         await asyncio.sleep(0.01)
         await stand.take()
         assert one.told[1:] == [("busy", 0)] and two.told == ["move"] and three.told == [("busy", 0)]
-        await stand.take(AttemptUp(waits, 0))
+        await stand.take(AttemptEstablished(waits, 0))
         assert one.told[-1] == "move"  # an UP that crossed the refusal
 
     drive(play)
@@ -178,20 +186,28 @@
 @pytest.mark.parametrize("handed_over", [True, False])
 def test_a_stop_uses_its_time_and_is_over_before_the_kill(deadline_us: int, handed_over: bool) -> None:
     """The kill comes 0.7 s after the longest deadline, which counts as 3 s at most."""
-    plan = stopping(settings(profiles=(Profile(500_000, deadline_us),)), handed_over=handed_over)
-    kill_us, last_us = min(3_000_000, deadline_us) + 700_000, plan.drain.newcomers_us + plan.drain.over_us
-    assert last_us + 400_000 < kill_us and last_us <= plan.most_us < kill_us
+    plan = plan_shutdown(settings(profiles=(RequestClass(500_000, deadline_us),)), handed_over=handed_over)
+    kill_us, last_us = (
+        min(3_000_000, deadline_us) + 700_000,
+        plan.drain.accept_window_us + plan.drain.migration_window_us,
+    )
+    assert last_us + 400_000 < kill_us and last_us <= plan.max_duration_us < kill_us
     if not handed_over:
         # Moved within a second, all clients of a proxy came to its peers between two reports.
-        assert plan.drain.newcomers_us >= 400_000 and last_us >= kill_us - 800_000
+        assert plan.drain.accept_window_us >= 400_000 and last_us >= kill_us - 800_000
 
 
 @pytest.mark.parametrize("deadline_us", [50_000, 100_000, 300_000])
 def test_a_stop_with_short_deadlines_is_over_before_the_kill(deadline_us: int) -> None:
     """Guards against a process that served until 1 s after SIGTERM and was killed at 0.8 s."""
-    plan = stopping(settings(profiles=(Profile(20_000, deadline_us),)), handed_over=False)
-    assert plan.least_us <= plan.most_us < deadline_us + 700_000
-    assert plan.drain.newcomers_us + plan.drain.over_us < plan.most_us > plan.drain.serve_us > plan.drain.newcomers_us
+    plan = plan_shutdown(settings(profiles=(RequestClass(20_000, deadline_us),)), handed_over=False)
+    assert plan.min_duration_us <= plan.max_duration_us < deadline_us + 700_000
+    assert (
+        plan.drain.accept_window_us + plan.drain.migration_window_us
+        < plan.max_duration_us
+        > plan.drain.admission_window_us
+        > plan.drain.accept_window_us
+    )
 
 
 def test_those_who_stand_are_moved_ever_faster_and_who_comes_at_first_is_served() -> None:
@@ -200,19 +216,19 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a", "b")
         standing = [stand.req() for _ in range(100)]
-        await stand.take(*(Stood(req, "a") for req, _ in standing))
-        end = stopping(settings(), handed_over=False).drain
+        await stand.take(*(SessionRestored(req, "a") for req, _ in standing))
+        end = plan_shutdown(settings(), handed_over=False).drain
         waits = []
         loop = asyncio.get_running_loop()
         later = loop.call_later
         loop.call_later = lambda delay, *rest: waits.append(delay) or later(delay, *rest)  # type: ignore
         (comes, door) = stand.req()
         try:
-            await stand.take(end, Arrived(comes))
+            await stand.take(end, RequestReceived(comes))
         finally:
             loop.call_later = later  # type: ignore[method-assign]
         moves = waits[1:101]
-        first, last = end.newcomers_us / 1e6, (end.newcomers_us + end.over_us) / 1e6
+        first, last = end.accept_window_us / 1e6, (end.accept_window_us + end.migration_window_us) / 1e6
         assert moves == sorted(moves) and moves[0] == first and moves[-1] < last
         assert sum(move < (first + last) / 2 for move in moves) <= 25
         assert [each[0] for each in door.told] == ["fetch"]
@@ -225,7 +241,7 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a")
         (stands, one), (comes, two) = stand.req(), stand.req()
-        await stand.take(Stood(stands, "a"), Drain(200_000, 0), Arrived(comes))
+        await stand.take(SessionRestored(stands, "a"), BeginDrain(200_000, 0), RequestReceived(comes))
         (word, advice_us) = two.told[0]
         assert word == "busy" and 0 < int(advice_us) <= 200_000 and not one.told
         assert stand.owner._elsewhere_us() == advice_us
@@ -242,19 +258,21 @@
     """The module may hold a req without an attempt out; the owner answers it without asking."""
 
     async def play(stand: Stand) -> None:
-        stand.owner = Owner(settings(balancers=40), 7, stand.clock, EventLog("test"), stand.counters)
+        stand.owner = Controller(settings(balancers=40), 7, stand.clock, EventLog("test"), stand.counters)
         stand.owner.start(stand.backstage)
         await stand.servers(*"abcdefghijkl")
         req, door = stand.req()
-        await stand.take(Arrived(req))
+        await stand.take(RequestReceived(req))
         assert door.told == []
         asked = [each[1] for each in stand.backstage.done if each[0] == "probe"]
-        await stand.take(Drain(0, 0) if drained else Overdue(req))
+        await stand.take(BeginDrain(0, 0) if drained else RequestTimedOut(req))
         balancer = stand.owner._balancer
         assert isinstance(balancer, Balancer)
         assert len(door.told) == 1 and not balancer._connections and not balancer._own.under_way
-        await stand.take(*(Probed(server, Status.DELIVERED, 1_000, (0.1, 5.0)) for server in asked))
-        assert len(door.told) == 1 and stand.owner.open == 0
+        await stand.take(
+            *(HealthCheckCompleted(server, AttemptStatus.DELIVERED, 1_000, (0.1, 5.0)) for server in asked)
+        )
+        assert len(door.told) == 1 and stand.owner.open_requests == 0
 
     drive(play)
 
@@ -263,7 +281,7 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a")
         req, door = stand.req()
-        await stand.take(Arrived(req), Overdue(req), Overdue(req))
+        await stand.take(RequestReceived(req), RequestTimedOut(req), RequestTimedOut(req))
         assert door.told[1:] == ["failed"]
 
     drive(play)
@@ -273,17 +291,17 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a")
         (out, first), (standing, _), (fresh, last) = stand.req(), stand.req(), stand.req()
-        await stand.take(Arrived(out), Stood(standing, "a"))
+        await stand.take(RequestReceived(out), SessionRestored(standing, "a"))
 
         def fault(event: Event, now_us: int) -> None:
             raise RuntimeError("broken")
 
         with monkeypatch.context() as patch:
             patch.setattr(stand.owner._balancer, "handle", fault)
-            await stand.take(Arrived(fresh))
+            await stand.take(RequestReceived(fresh))
         assert last.told == ["failed"] and stand.backstage.done[-1] == "fetch_list"
-        await stand.take(AttemptEnded(out, 0, end(Status.DIAL_FAILED, AttemptStage.CONNECTING)))
-        assert first.told[-1] == "failed" and stand.owner.open == 1
+        await stand.take(AttemptEnded(out, 0, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
+        assert first.told[-1] == "failed" and stand.owner.open_requests == 1
 
     drive(play)
 
@@ -297,46 +315,50 @@
     """Beside a plain model: who comes while the proxy serves is placed and stays, who stands in a drain is moved."""
 
     async def play(stand: Stand) -> None:
-        course, stage = Course(), Stage.SERVING
+        course, stage = ProxyLifecycle(), LifecycleState.SERVING
         await stand.servers("a", "b", "c")
-        reqs: list[tuple[Req, Door]] = []
+        reqs: list[tuple[RequestState, Door]] = []
         for act in acts:
             if act == "ask":
                 reqs.append(stand.req())
-                await stand.take(Arrived(reqs[-1][0]))
+                await stand.take(RequestReceived(reqs[-1][0]))
                 placed = reqs[-1][1].told[0][0] == "fetch"
-                assert placed == (stage is not Stage.STOPPING)
+                assert placed == (stage is not LifecycleState.STOPPING)
             elif act == "up":
                 for req, door in reqs:
-                    if req.out is not None and not req.up:
-                        await stand.take(AttemptUp(req, req.out))
-                        assert stage is not Stage.SERVING or "move" not in door.told
+                    if req.active_attempt is not None and not req.is_established:
+                        await stand.take(AttemptEstablished(req, req.active_attempt))
+                        assert stage is not LifecycleState.SERVING or "move" not in door.told
             elif act == "end":
                 for req, _ in reqs:
-                    if req.out is not None:
-                        await stand.take(AttemptEnded(req, req.out, end(Status.REVOKED, AttemptStage.UP)))
+                    if req.active_attempt is not None:
+                        await stand.take(
+                            AttemptEnded(req, req.active_attempt, end(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED))
+                        )
             elif act == "drain":
-                assert course.drain() == (stage is Stage.SERVING)
-                if stage is Stage.SERVING:
-                    stage = Stage.DRAINING
-                    await stand.take(Drain(0, 0, 60_000_000))
+                assert course.begin_drain() == (stage is LifecycleState.SERVING)
+                if stage is LifecycleState.SERVING:
+                    stage = LifecycleState.DRAINING
+                    await stand.take(BeginDrain(0, 0, 60_000_000))
             elif act == "activate":
-                assert course.activate() == (stage is not Stage.STOPPING)
-                if stage is Stage.DRAINING:
-                    stage = Stage.SERVING
-                    await stand.take(Activate())
+                assert course.resume_serving() == (stage is not LifecycleState.STOPPING)
+                if stage is LifecycleState.DRAINING:
+                    stage = LifecycleState.SERVING
+                    await stand.take(CancelDrain())
             elif act == "stop":
-                course.stop(handed_over=False)
-                stage = Stage.STOPPING
-                await stand.take(Drain(0, 0))
+                course.begin_shutdown(handed_over=False)
+                stage = LifecycleState.STOPPING
+                await stand.take(BeginDrain(0, 0))
             else:
                 await asyncio.sleep(0.002)
                 await stand.take()
-            assert course.stage is stage and course.lets_in == (stage is Stage.SERVING)
-        if stage is not Stage.SERVING:
+            assert course.state is stage and course.accepts_clients == (stage is LifecycleState.SERVING)
+        if stage is not LifecycleState.SERVING:
             await asyncio.sleep(0.002)
             await stand.take()
-            assert all("move" in door.told for req, door in reqs if req.up and req.out is not None)
+            assert all(
+                "move" in door.told for req, door in reqs if req.is_established and req.active_attempt is not None
+            )
         for _, door in reqs:
             finals = [word for word in door.told if word == "failed" or word[0] == "busy"]
             assert len(finals) <= 1
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -9,30 +9,30 @@
 
 from stoatgw.decisions.interface import (
     Action,
-    Begun,
-    ClientGone,
+    AttemptEstablished,
+    AttemptOutcome,
+    AttemptStatus,
+    ClientDisconnected,
+    Endpoint,
+    EndpointUpdateKind,
     Fail,
+    HealthCheckResult,
     Idempotency,
     KeyScope,
     Lifecycle,
-    ListKind,
-    Move,
-    Note,
-    NoteKind,
-    Outcome,
-    ProbeResult,
-    Profile,
-    Refuse,
+    Migrate,
+    Reject,
     Request,
+    RequestClass,
     Send,
-    ServerEntry,
-    Status,
+    SessionMetric,
+    SessionMetricKind,
 )
 from tests import fleet
 from tests.fleet import SECOND, T0, Stand
 
 PROFILES = tuple(
-    Profile(200_000, SECOND, worth, idempotency, scope, 700_000, 80_000)
+    RequestClass(200_000, SECOND, worth, idempotency, scope, 700_000, 80_000)
     for worth, idempotency, scope in (
         (3.0, Idempotency.RETRYABLE, KeyScope.ALL),
         (1.0, Idempotency.FRAGILE, KeyScope.ALL),
@@ -41,7 +41,7 @@
         (1.0, Idempotency.DEDUP, KeyScope.CELL),
     )
 )
-NEVER_RAN = (Status.SHED, Status.DIAL_FAILED, Status.UNUSED)
+NEVER_RAN = (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED, AttemptStatus.UNUSED)
 SERVERS = tuple(f"s{index}" for index in range(6))
 NUMBER = st.floats(allow_nan=True, allow_infinity=True) | st.floats(0, 2) | st.integers(0, 50).map(float)
 
@@ -50,13 +50,13 @@
 class Seen:
     """What the client's and the rules' side knows of one request."""
 
-    profile: Profile
+    profile: RequestClass
     deadline_us: int
     attempts: list[Send] = field(default_factory=list)
     out: bool = False
     standing: bool = False
     over: bool = False
-    first_run: tuple[ServerEntry, int] | None = None
+    first_run: tuple[Endpoint, int] | None = None
 
 
 class World:
@@ -74,9 +74,7 @@
                 tenant_quota_connections=draw.draw(st.sampled_from([(), (1.0, 5.0)])),
             )
         )
-        self.entries = {
-            name: ServerEntry(name, zone=index % 3, cell=index // 2) for index, name in enumerate(SERVERS)
-        }
+        self.entries = {name: Endpoint(name, zone=index % 3, cell=index // 2) for index, name in enumerate(SERVERS)}
         self.down_us: dict[str, int] = {}
         self.requests: dict[str, Seen] = {}
         self.check(self.stand.servers(*self.entries.values()))
@@ -85,30 +83,30 @@
         now_us = self.stand.now_us
         for action in actions:
             if isinstance(action, Send):
-                seen = self.requests[action.request]
+                seen = self.requests[action.request_id]
                 entry = self.entries[action.server]
                 assert not seen.over and not seen.out and not seen.standing
-                assert now_us < action.cut_at_us < seen.deadline_us
+                assert now_us < action.deadline_us < seen.deadline_us
                 assert len(seen.attempts) < self.stand.balancer._settings.max_attempts
                 if action.server in self.down_us:
                     assert now_us <= self.down_us[action.server] + SECOND
                 self.check_repeat(seen, entry)
                 seen.attempts.append(action)
                 seen.out = True
-            elif isinstance(action, Refuse | Fail):
-                seen = self.requests[action.request]
+            elif isinstance(action, Reject | Fail):
+                seen = self.requests[action.request_id]
                 assert not seen.over and not seen.out and not seen.standing
                 seen.over = True
                 profile = seen.profile
-                if isinstance(action, Refuse) and seen.first_run is not None:
+                if isinstance(action, Reject) and seen.first_run is not None:
                     assert profile.idempotency is not Idempotency.FRAGILE
                     assert profile.idempotency is Idempotency.RETRYABLE or profile.key_scope is KeyScope.ALL
-            elif isinstance(action, Move):
-                assert self.requests[action.request].standing
+            elif isinstance(action, Migrate):
+                assert self.requests[action.request_id].standing
         for seen in self.requests.values():
             assert seen.over or seen.out or seen.standing, "nothing is left unanswered"
 
-    def check_repeat(self, seen: Seen, entry: ServerEntry) -> None:
+    def check_repeat(self, seen: Seen, entry: Endpoint) -> None:
         if seen.first_run is None or seen.profile.idempotency is Idempotency.RETRYABLE:
             return
         assert seen.profile.idempotency is Idempotency.DEDUP
@@ -123,9 +121,9 @@
         pick = self.draw.draw
         self.stand.now_us += pick(st.sampled_from([0, 1_000, 50_000, 400_000]))
         out = [(name, seen) for name, seen in self.requests.items() if seen.out]
-        overdue = [item for item in out if item[1].attempts[-1].cut_at_us <= self.stand.now_us]
+        overdue = [item for item in out if item[1].attempts[-1].deadline_us <= self.stand.now_us]
         if overdue:
-            self.finish(*overdue[0], Status.EXPIRED)
+            self.finish(*overdue[0], AttemptStatus.EXPIRED)
             return
         kinds = ["ask", "ask", "end", "begin", "probe", "note", "list", "period", "gone"]
         kind = pick(st.sampled_from(kinds))
@@ -146,23 +144,25 @@
             self.check(self.stand.event(asked))
         elif kind == "end" and out:
             name, seen = pick(st.sampled_from(out))
-            self.finish(name, seen, pick(st.sampled_from([s for s in Status if s is not Status.DELIVERED])))
+            self.finish(
+                name, seen, pick(st.sampled_from([s for s in AttemptStatus if s is not AttemptStatus.DELIVERED]))
+            )
         elif kind == "begin" and out:
             name, seen = pick(st.sampled_from(out))
             seen.out, seen.standing = False, True
             attempt = len(seen.attempts) - 1
-            self.check(self.stand.event(Begun(name, attempt, seen.attempts[-1].server, 5)))
+            self.check(self.stand.event(AttemptEstablished(name, attempt, seen.attempts[-1].server, 5)))
         elif kind == "probe":
-            status = pick(st.sampled_from([Status.DELIVERED, Status.DELIVERED, Status.EXPIRED]))
+            status = pick(st.sampled_from([AttemptStatus.DELIVERED, AttemptStatus.DELIVERED, AttemptStatus.EXPIRED]))
             row = (pick(NUMBER | st.none()), pick(NUMBER | st.none()))
-            self.check(self.stand.event(ProbeResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
+            self.check(self.stand.event(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
         elif kind == "note":
             standing = [name for name, seen in self.requests.items() if seen.standing and not seen.over]
             if standing:
                 name = pick(st.sampled_from(standing))
                 server = self.requests[name].attempts[-1].server
                 value = pick(NUMBER | st.floats(50, 5000))
-                self.check(self.stand.event(Note(name, 0, server, NoteKind.DELAY, value)))
+                self.check(self.stand.event(SessionMetric(name, 0, server, SessionMetricKind.DELAY, value)))
         elif kind == "list":
             self.change_list()
         elif kind == "period":
@@ -170,22 +170,22 @@
         elif kind == "gone" and out:
             name, seen = pick(st.sampled_from(out))
             seen.over = True
-            self.check(self.stand.event(ClientGone(name)))
+            self.check(self.stand.event(ClientDisconnected(name)))
 
     def change_list(self) -> None:
         name = self.draw.draw(st.sampled_from(SERVERS))
         lifecycle = self.draw.draw(st.sampled_from(list(Lifecycle)))
         started_us = self.draw.draw(st.sampled_from([0, self.stand.now_us]))
         old = self.entries[name]
-        entry = ServerEntry(name, lifecycle, old.zone, old.cell, last_start_us=started_us)
+        entry = Endpoint(name, lifecycle, old.zone, old.cell, started_us=started_us)
         self.entries[name] = entry
-        if lifecycle is Lifecycle.ON:
+        if lifecycle is Lifecycle.ACTIVE:
             self.down_us.pop(name, None)
         else:
             self.down_us.setdefault(name, self.stand.now_us)
-        self.check(self.stand.servers(entry, kind=ListKind.DIFF))
+        self.check(self.stand.servers(entry, kind=EndpointUpdateKind.DELTA))
 
-    def finish(self, name: str, seen: Seen, status: Status) -> None:
+    def finish(self, name: str, seen: Seen, status: AttemptStatus) -> None:
         sent = seen.attempts[-1]
         seen.out = False
         if status not in NEVER_RAN and seen.first_run is None:
@@ -193,11 +193,11 @@
             seen.first_run = (old, self.sent_us(sent, seen))
         final = seen.over
         attempt = len(seen.attempts) - 1
-        self.check(self.stand.event(Outcome(name, attempt, sent.server, status, 5, final)))
+        self.check(self.stand.event(AttemptOutcome(name, attempt, sent.server, status, 5, final)))
 
     def sent_us(self, sent: Send, seen: Seen) -> int:
         # The latest time at which it can have been sent is what the window is checked against.
-        return min(sent.cut_at_us, self.stand.now_us, seen.deadline_us)
+        return min(sent.deadline_us, self.stand.now_us, seen.deadline_us)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -10,36 +10,42 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
 from stoatgw.config.deployment import ConfigError
-from stoatgw.config.operators import Operators, load_operators
-from stoatgw.decisions.interface import Belief, Move, Request
-from stoatgw.decisions.records import Server
-from stoatgw.rebalance import Held, Limits, Picture, Planner, View
-from stoatgw.rebalance.mover import Rebalancer
+from stoatgw.config.operators import OperatorConfig, load_operator_config
+from stoatgw.decisions.interface import Migrate, Request, ServerEstimate
+from stoatgw.decisions.records import ServerState
+from stoatgw.rebalance import FleetSnapshot, Planner, RebalanceLimits, ServerSnapshot, SessionSnapshot
+from stoatgw.rebalance.rebalancer import Rebalancer
 from tests.fleet import Stand
 from tests.fleet import settings as plain
 
-LIMITS = Limits(enabled=True, part=0.9, rate=0.5, per_server=3, under_way=8)
+LIMITS = RebalanceLimits(enabled=True, part=0.9, rate=0.5, per_server=3, under_way=8)
 SECOND = 1_000_000
 
 
-def held(number: int, group: int | None = None) -> Held:
-    return Held(f"{number:016x}", number, group, 1.0, 1.0)
+def held(number: int, group: int | None = None) -> SessionSnapshot:
+    return SessionSnapshot(f"{number:016x}", number, group, 1.0, 1.0)
 
 
-def view(name: str, load: float, mine: int = 0, **fields: object) -> View:
+def view(name: str, load: float, mine: int = 0, **fields: object) -> ServerSnapshot:
     first = sum(map(ord, name)) * 1000
     rows = tuple(held(first + number) for number in range(mine))
     base = {
-        "near": True, "unit": 0.02, "count": float(max(mine, 20)), "age_us": 100_000, "share": 1.0, "under_way": 0,
-        "ready": True, "mine": rows,
-    }  # fmt: skip
-    return View(name=name, load=load, **(base | fields))  # type: ignore[arg-type]
-
-
-def plan(*views: View, limits: Limits = LIMITS, steps: int = 1) -> list[str]:
+        "near": True,
+        "unit": 0.02,
+        "count": float(max(mine, 20)),
+        "age_us": 100_000,
+        "share": 1.0,
+        "under_way": 0,
+        "ready": True,
+        "mine": rows,
+    }
+    return ServerSnapshot(name=name, load=load, **(base | fields))  # type: ignore[arg-type]
+
+
+def plan(*views: ServerSnapshot, limits: RebalanceLimits = LIMITS, steps: int = 1) -> list[str]:
     planner, moved = Planner(limits, 1), list[str]()
     for step in range(steps):
-        moved += [f"{each.source}>{each.target}" for each in planner.plan(Picture(step * SECOND, views))]
+        moved += [f"{each.source}>{each.target}" for each in planner.plan(FleetSnapshot(step * SECOND, views))]
     return moved
 
 
@@ -60,12 +66,12 @@
         (view("a", 0.7, 20), view("b", 0.6)),  # the gap is not worth it
     ],
 )
-def test_it_moves_nobody_where_nothing_is_gained(views: tuple[View, ...]) -> None:
+def test_it_moves_nobody_where_nothing_is_gained(views: tuple[ServerSnapshot, ...]) -> None:
     assert plan(*views, steps=20) == []
 
 
 def test_it_moves_nobody_at_a_cost_over_the_gain() -> None:
-    dear = Limits(enabled=True, part=0.9, rate=0.5, cost_s=1e6)
+    dear = RebalanceLimits(enabled=True, part=0.9, rate=0.5, cost_s=1e6)
     assert plan(view("full", 0.95, 20), view("empty", 0.2), limits=dear, steps=5) == []
 
 
@@ -73,8 +79,10 @@
     """Twenty of one group on the full server: whoever goes pays for the group anew at the other."""
     group = tuple(held(number, 7) for number in range(20))
     alone = tuple(held(number, number) for number in range(20))
-    assert plan(View("a", True, 0.8, 0.1, 8.0, 0, 1.0, 0, True, group), view("b", 0.4, unit=0.1), steps=3) == []
-    assert plan(View("a", True, 0.8, 0.1, 8.0, 0, 1.0, 0, True, alone), view("b", 0.3, unit=0.1), steps=3)
+    assert (
+        plan(ServerSnapshot("a", True, 0.8, 0.1, 8.0, 0, 1.0, 0, True, group), view("b", 0.4, unit=0.1), steps=3) == []
+    )
+    assert plan(ServerSnapshot("a", True, 0.8, 0.1, 8.0, 0, 1.0, 0, True, alone), view("b", 0.3, unit=0.1), steps=3)
 
 
 def test_many_proxies_together_do_not_pass_balance() -> None:
@@ -82,7 +90,7 @@
     total = 0
     for seed in range(12):
         views = (view("a", 0.95, 5, count=60.0), view("b", 0.2), view("c", 0.3))
-        total += len(Planner(LIMITS, seed).plan(Picture(0, views)))
+        total += len(Planner(LIMITS, seed).plan(FleetSnapshot(0, views)))
     assert 0 < total * 0.02 <= 0.95 - 0.48
 
 
@@ -97,19 +105,25 @@
 
     @rule(
         loads=st.lists(st.sampled_from([0.1, 0.3, 0.5, 0.8, 0.95, 1.4]), min_size=2, max_size=5),
-        ready=st.sampled_from([31, 31, 29, 7, 0]), cold=st.sampled_from([0, 0, 2, 5]),
-        stale=st.sampled_from([0, 0, 1, 4]), wait=st.sampled_from([200_000, SECOND, 70 * SECOND]),
-    )  # fmt: skip
+        ready=st.sampled_from([31, 31, 29, 7, 0]),
+        cold=st.sampled_from([0, 0, 2, 5]),
+        stale=st.sampled_from([0, 0, 1, 4]),
+        wait=st.sampled_from([200_000, SECOND, 70 * SECOND]),
+    )
     def step(self, loads: list[float], ready: int, cold: int, stale: int, wait: int) -> None:
         self.now_us += wait
         views = tuple(
             view(
-                f"s{place}", load, 12, ready=bool(ready >> place & 1), share=0.3 if cold >> place & 1 else 1.0,
+                f"s{place}",
+                load,
+                12,
+                ready=bool(ready >> place & 1),
+                share=0.3 if cold >> place & 1 else 1.0,
                 age_us=9 * SECOND if stale >> place & 1 else 0,
             )
             for place, load in enumerate(loads)
-        )  # fmt: skip
-        picture = Picture(self.now_us, views)
+        )
+        picture = FleetSnapshot(self.now_us, views)
         moves = self.planner.plan(picture)
         assert moves == self.twin.plan(picture)
         by_name = {each.name: each for each in views}
@@ -140,10 +154,12 @@
 @given(st.floats(0.0, 1.0), st.integers(0, 3))
 def test_beliefs_become_a_picture(load: float, rank: int) -> None:
     config = plain(rank=rank)
-    asked = Request("f" * 16, 1, 0, key=9, group=4)
-    belief = Belief("a", 0, load, 0.02, 10.0, 5, 1.0, 0, True, (asked,))
+    asked = Request("f" * 16, 1, 0, idempotency_key=9, group=4)
+    belief = ServerEstimate("a", 0, load, 0.02, 10.0, 5, 1.0, 0, True, (asked,))
     picture = Rebalancer(LIMITS, config, 1).picture([belief], 7)
-    assert picture.servers[0].mine == (Held("f" * 16, 9, None, 0.2, 1.0),) and picture.servers[0].load == load
+    assert (
+        picture.servers[0].mine == (SessionSnapshot("f" * 16, 9, None, 0.2, 1.0),) and picture.servers[0].load == load
+    )
 
 
 def test_the_module_tells_its_beliefs_and_moves_once() -> None:
@@ -151,12 +167,14 @@
     stand.fleet(a=0, b=1)
     stand.report("a", 0.5, 10)
     stand.ask(request="f" * 16)
-    assert stand.balancer.beliefs(stand.now_us)[0].mine == ()
+    assert stand.balancer.estimates(stand.now_us)[0].own_sessions == ()
     stand.begin("f" * 16, "a")
-    told = {each.server: each for each in stand.balancer.beliefs(stand.now_us)}
-    assert [asked.request for asked in told["a"].mine] == ["f" * 16] and told["a"].load == pytest.approx(0.55)
-    assert stand.balancer.move("f" * 16) == [Move("f" * 16)]
-    assert stand.balancer.move("f" * 16) == [] == stand.balancer.move("0" * 16)
+    told = {each.server: each for each in stand.balancer.estimates(stand.now_us)}
+    assert [asked.request_id for asked in told["a"].own_sessions] == ["f" * 16] and told["a"].load == pytest.approx(
+        0.55
+    )
+    assert stand.balancer.migrate("f" * 16) == [Migrate("f" * 16)]
+    assert stand.balancer.migrate("f" * 16) == [] == stand.balancer.migrate("0" * 16)
 
 
 def test_a_decision_looks_at_each_server_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -167,8 +185,8 @@
         stand.report(f"s{number}", 0.7, 10)
     pressure = stand.balancer._pressure
 
-    def look(server: Server, units: float) -> float:
-        seen.append(server.entry.server)
+    def look(server: ServerState, units: float) -> float:
+        seen.append(server.entry.name)
         return pressure(server, units)
 
     monkeypatch.setattr(stand.balancer, "_pressure", look)
@@ -193,8 +211,8 @@
     file = tmp_path / "stoatgw.toml"
     file.write_text(text)
     with pytest.raises(ConfigError) as error:
-        load_operators(str(file))
+        load_operator_config(str(file))
     assert str(error.value).startswith(f"{file}: ") and told in str(error.value) and "\n" not in str(error.value)
     file.write_text("version = 1")
-    assert load_operators(str(file)) == Operators(version=1)
-    assert not load_operators(str(file)).rebalance.enabled
+    assert load_operator_config(str(file)) == OperatorConfig(version=1)
+    assert not load_operator_config(str(file)).rebalance.enabled
--- a/tests/test_rude.py
+++ b/tests/test_rude.py
@@ -9,9 +9,9 @@
 import pytest
 import uvloop
 
-from stoatgw.clients import opening
-from stoatgw.clients.room import DESCRIPTORS_KEPT, REQUEST_HOLDS, Room
-from stoatgw.lines.grammar import Open
+from stoatgw.clients import request_reader
+from stoatgw.clients.descriptor_limiter import DESCRIPTORS_KEPT, REQUEST_HOLDS, DescriptorLimiter
+from stoatgw.line_protocol.grammar import SessionRequest
 from tests.test_sessions import OPEN, Proxy, Streams, echo, play
 
 
@@ -26,13 +26,9 @@
         writer.close()
 
 
-@pytest.mark.parametrize(
-    ("word", "answer"), [(b"", b"BUSY\r\n"), (b"x", b"ERR "), (b"PING\r\n", b"PONG\r\n")]
-)
-def test_silence_trickles_and_pings_end_in_time(
-    word: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    monkeypatch.setattr(opening, "PATIENCE_S", 0.2)
+@pytest.mark.parametrize(("word", "answer"), [(b"", b"BUSY\r\n"), (b"x", b"ERR "), (b"PING\r\n", b"PONG\r\n")])
+def test_silence_trickles_and_pings_end_in_time(word: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(request_reader, "PATIENCE_S", 0.2)
 
     async def test(proxy: Proxy) -> None:
         reader, writer = await proxy.client()
@@ -51,17 +47,17 @@
 
 
 def test_a_request_that_came_while_the_proxy_was_late_still_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(opening, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(request_reader, "PATIENCE_S", 0.05)
 
     async def test() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         with ours, theirs:
-            asked = asyncio.create_task(opening.Opening(ours, Proxy().context).request())
+            asked = asyncio.create_task(request_reader.RequestReader(ours, Proxy().context).request())
             await asyncio.sleep(0.01)
             theirs.send(OPEN % 1)
             time.sleep(0.1)  # the loop is late: its time is up before it reads
-            assert isinstance(await asked, Open)
+            assert isinstance(await asked, SessionRequest)
 
     uvloop.run(test())
 
@@ -114,10 +110,10 @@
 
 @pytest.mark.parametrize("word", [b"", b"PING\r\n", b"OPEN"])
 def test_idle_connections_make_room_for_those_that_ask(word: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(opening, "PATIENCE_S", 60.0)
+    monkeypatch.setattr(request_reader, "PATIENCE_S", 60.0)
 
     async def test(proxy: Proxy) -> None:
-        proxy.context.room = Room(DESCRIPTORS_KEPT + 15)
+        proxy.context.descriptor_limiter = DescriptorLimiter(DESCRIPTORS_KEPT + 15)
         idle = []
         for _ in range(30):
             idle.append(await proxy.client())
@@ -148,7 +144,7 @@
 
 
 def test_room_sheds_who_is_idle_longest_and_keeps_whose_words_are_unread() -> None:
-    room = Room(DESCRIPTORS_KEPT + 4)
+    room = DescriptorLimiter(DESCRIPTORS_KEPT + 4)
     assert room.admits()
     first, second, third = Quiet(False), Quiet(True), Quiet(True)
     for each in (first, second, third):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,37 +4,37 @@
 
 import pytest
 
-from stoatgw.decisions.cold import SETUP_US
 from stoatgw.decisions.interface import (
-    ClientGone,
-    Existing,
+    AttemptStatus,
+    ClientDisconnected,
+    Endpoint,
+    EndpointUpdate,
+    EndpointUpdateKind,
     Fail,
     Idempotency,
     KeyScope,
     Lifecycle,
-    ListKind,
-    ListUpdate,
     PeerMessage,
-    Profile,
-    Refuse,
+    Reject,
     Request,
+    RequestClass,
     Send,
-    ServerEntry,
-    Status,
+    SessionRestored,
     Subscribe,
 )
+from stoatgw.decisions.slow_start import SETUP_US
 from tests.fleet import SECOND, T0, Stand, drain, settings
 
 R = "a" * 16
 
 
 def keyed(idempotency: Idempotency, scope: KeyScope = KeyScope.ALL, ttl_us: int = 5 * SECOND) -> Stand:
-    profile = Profile(300_000, 2 * SECOND, 1.0, idempotency, scope, ttl_us)
+    profile = RequestClass(300_000, 2 * SECOND, 1.0, idempotency, scope, ttl_us)
     stand = Stand(settings(profiles=(profile,)))
     stand.servers(
-        ServerEntry("a", zone=0, cell=0),
-        ServerEntry("b", zone=0, cell=1),
-        ServerEntry("c", zone=1, cell=2),
+        Endpoint("a", zone=0, cell=0),
+        Endpoint("b", zone=0, cell=1),
+        Endpoint("c", zone=1, cell=2),
     )
     stand.report("a", 0.10, 10)
     stand.report("b", 0.50, 30)
@@ -49,30 +49,30 @@
     stand.fleet(a=0, b=0)
     stand.ask(request=R)
     first = stand.of(Send)[0]
-    assert T0 + 300_000 <= first.cut_at_us <= T0 + SECOND  # leaves room for another
-    stand.now_us = first.cut_at_us
-    stand.ended(R, first.server, Status.EXPIRED)
+    assert T0 + 300_000 <= first.deadline_us <= T0 + SECOND  # leaves room for another
+    stand.now_us = first.deadline_us
+    stand.ended(R, first.server, AttemptStatus.EXPIRED)
     second = stand.of(Send)[0]
     assert second.server != first.server
-    assert second.cut_at_us < T0 + 2 * SECOND
-    stand.now_us = second.cut_at_us
-    stand.ended(R, second.server, Status.EXPIRED, attempt=1)
-    assert stand.of(Refuse)
+    assert second.deadline_us < T0 + 2 * SECOND
+    stand.now_us = second.deadline_us
+    stand.ended(R, second.server, AttemptStatus.EXPIRED, attempt=1)
+    assert stand.of(Reject)
 
 
 def test_fragile_gets_its_whole_time_as_no_other_attempt_may_follow() -> None:
     stand = keyed(Idempotency.FRAGILE)
-    assert stand.of(Send)[0].cut_at_us > T0 + 1_900_000
+    assert stand.of(Send)[0].deadline_us > T0 + 1_900_000
 
 
 def test_nothing_follows_a_final_answer() -> None:
     stand = Stand()
     stand.fleet(a=0, b=0)
     stand.ask(request=R)
-    stand.ended(R, "a", Status.DELIVERED, final=True)
+    stand.ended(R, "a", AttemptStatus.DELIVERED, final=True)
     assert not stand.actions
-    stand.ended(R, "a", Status.DROPPED)
-    stand.event(ClientGone(R))
+    stand.ended(R, "a", AttemptStatus.DROPPED)
+    stand.event(ClientDisconnected(R))
     assert not stand.actions
 
 
@@ -81,9 +81,9 @@
     stand.fleet(a=0, b=0)
     stand.ask(request=R)
     server = str(stand.sent_to())
-    stand.event(ClientGone(R))
-    stand.ended(R, server, Status.EXPIRED)
-    assert not stand.of(Send) and not stand.of(Refuse) and not stand.of(Fail)
+    stand.event(ClientDisconnected(R))
+    stand.ended(R, server, AttemptStatus.EXPIRED)
+    assert not stand.of(Send) and not stand.of(Reject) and not stand.of(Fail)
     assert not stand.balancer._connections
 
 
@@ -93,30 +93,30 @@
     stand.ask(request=R)
     server = str(stand.sent_to())
     stand.begin(R, server)
-    stand.ended(R, server, Status.DROPPED, final=True)
+    stand.ended(R, server, AttemptStatus.DROPPED, final=True)
     assert not stand.actions
 
 
-@pytest.mark.parametrize("status", [Status.EXPIRED, Status.APP_ERROR, Status.DROPPED, Status.REVOKED])
-def test_fragile_that_may_have_run_fails(status: Status) -> None:
+@pytest.mark.parametrize(
+    "status", [AttemptStatus.EXPIRED, AttemptStatus.APP_ERROR, AttemptStatus.DROPPED, AttemptStatus.REVOKED]
+)
+def test_fragile_that_may_have_run_fails(status: AttemptStatus) -> None:
     stand = keyed(Idempotency.FRAGILE)
     stand.ended(R, "a", status)
-    assert stand.of(Fail) and not stand.of(Send) and not stand.of(Refuse)
+    assert stand.of(Fail) and not stand.of(Send) and not stand.of(Reject)
 
 
-@pytest.mark.parametrize("status", [Status.SHED, Status.DIAL_FAILED])
-def test_fragile_that_never_ran_goes_on(status: Status) -> None:
+@pytest.mark.parametrize("status", [AttemptStatus.SHED, AttemptStatus.DIAL_FAILED])
+def test_fragile_that_never_ran_goes_on(status: AttemptStatus) -> None:
     stand = keyed(Idempotency.FRAGILE)
     stand.ended(R, "a", status)
     assert stand.sent_to() in ("b", "c")
 
 
-@pytest.mark.parametrize(
-    ("scope", "target"), [(KeyScope.ALL, "b"), (KeyScope.ZONE, "b"), (KeyScope.CELL, None)]
-)
+@pytest.mark.parametrize(("scope", "target"), [(KeyScope.ALL, "b"), (KeyScope.ZONE, "b"), (KeyScope.CELL, None)])
 def test_dedup_stays_in_its_scope(scope: KeyScope, target: str | None) -> None:
     stand = keyed(Idempotency.DEDUP, scope)
-    stand.ended(R, "a", Status.EXPIRED)
+    stand.ended(R, "a", AttemptStatus.EXPIRED)
     assert stand.sent_to() == target
     if target is None:
         assert stand.of(Fail)
@@ -128,7 +128,7 @@
         stand.report("b", 0.90, 30)
         stand.report("b", 0.90, 30)
         stand.report("b", 0.90, 30)
-        stand.ended(R, "a", Status.EXPIRED)
+        stand.ended(R, "a", AttemptStatus.EXPIRED)
         assert stand.sent_to() == ("c" if scope is KeyScope.ALL else None)
         assert bool(stand.of(Fail)) is (scope is KeyScope.ZONE)
 
@@ -136,8 +136,8 @@
 def test_dedup_is_not_sent_after_its_window() -> None:
     stand = keyed(Idempotency.DEDUP, KeyScope.ALL, ttl_us=500_000)
     stand.now_us += 500_001
-    stand.ended(R, "a", Status.EXPIRED)
-    assert not stand.of(Send) and stand.of(Refuse)
+    stand.ended(R, "a", AttemptStatus.EXPIRED)
+    assert not stand.of(Send) and stand.of(Reject)
 
 
 def test_a_draining_or_gone_server_gets_nothing_new() -> None:
@@ -145,13 +145,13 @@
     stand.fleet(a=0, b=1)
     stand.report("a", 0.10, 10)
     stand.report("b", 0.50, 20)
-    stand.servers(drain("a"), kind=ListKind.DIFF)
+    stand.servers(drain("a"), kind=EndpointUpdateKind.DELTA)
     stand.ask()
     assert stand.sent_to() == "b"
-    stand.servers(ServerEntry("b", Lifecycle.OFF, 1), kind=ListKind.DIFF)
+    stand.servers(Endpoint("b", Lifecycle.REMOVED, 1), kind=EndpointUpdateKind.DELTA)
     stand.ask()
-    assert stand.of(Refuse)
-    stand.servers(ServerEntry("a"), kind=ListKind.DIFF)
+    assert stand.of(Reject)
+    stand.servers(Endpoint("a"), kind=EndpointUpdateKind.DELTA)
     stand.ask()
     assert stand.sent_to() == "a"
 
@@ -166,7 +166,7 @@
 
 def cold_stand(balancers: int = 3, rank: int = 0) -> Stand:
     stand = Stand(settings(balancers=balancers, rank=rank))
-    stand.servers(ServerEntry("old"), ServerEntry("young", last_start_us=T0))
+    stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
     stand.report("old", 1.0, 50)  # r = 0.02: a full server holds 50 connections
     return stand
 
@@ -200,7 +200,7 @@
         stand.ask(request=request)
         if stand.sent_to() == "young":
             sent += 1
-            stand.ended(request, "young", Status.SHED)
+            stand.ended(request, "young", AttemptStatus.SHED)
             stand.balancer._servers["young"].ejected_until_us = 0
     assert 0 < sent * (SETUP_US / SECOND + 0.02) <= 3.0 * 0.28
 
@@ -209,7 +209,7 @@
     # Guards against a server 3.5 s old that got 58 connections, each with its group's load.
     def sent(groups: bool) -> int:
         stand = Stand(settings(balancers=1, groups=groups))
-        stand.servers(ServerEntry("old"), ServerEntry("young", last_start_us=T0))
+        stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
         stand.report("old", 1.0, 50)
         count = 0
         for step in range(40):
@@ -243,7 +243,7 @@
     # Guards against a fleet's mean r dragged down by servers that hold only set-ups.
     stand = cold_stand(balancers=1)
     names = [f"s{index}" for index in range(12)]
-    stand.servers(*(ServerEntry(name) for name in names), kind=ListKind.DIFF)
+    stand.servers(*(Endpoint(name) for name in names), kind=EndpointUpdateKind.DELTA)
     for _ in range(10):
         for name in names:
             stand.report(name, 0.0, 3)
@@ -256,15 +256,15 @@
 def test_subscription_is_asked_for_until_it_stands() -> None:
     stand = Stand(settings(must_subscribe=True, ask_within_us=10 * SECOND))
     assert stand.of(Subscribe) == [Subscribe(True)]
-    stand.servers(ServerEntry("a"), kind=ListKind.DISK)
-    stand.event(ListUpdate(ListKind.ERROR))
+    stand.servers(Endpoint("a"), kind=EndpointUpdateKind.CACHED)
+    stand.event(EndpointUpdate(EndpointUpdateKind.ERROR))
     stand.period(1)
     assert stand.of(Subscribe) == [Subscribe(True)]
-    stand.servers(ServerEntry("a"))
+    stand.servers(Endpoint("a"))
     for _ in range(8):
         stand.period()
         assert not stand.of(Subscribe)
-    stand.event(ListUpdate(ListKind.ERROR))
+    stand.event(EndpointUpdate(EndpointUpdateKind.ERROR))
     stand.period()
     assert stand.of(Subscribe) == [Subscribe(True)]
 
@@ -282,10 +282,10 @@
     stand = Stand()
     stand.fleet(a=0, b=0)
     for index in range(5):
-        stand.event(Existing(Request(f"{index:016x}", 0, 0), "a"))
+        stand.event(SessionRestored(Request(f"{index:016x}", 0, 0), "a"))
         assert not stand.actions
     stand.ask()
     assert stand.sent_to() == "b"
-    stand.ended("0" * 16, "a", Status.DELIVERED, final=True)
-    stand.event(Existing(Request("f" * 16, 0, 0), "unknown"))
+    stand.ended("0" * 16, "a", AttemptStatus.DELIVERED, final=True)
+    stand.event(SessionRestored(Request("f" * 16, 0, 0), "unknown"))
     assert not stand.actions
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -7,51 +7,51 @@
 import pytest
 
 from stoatgw.decisions.balancer import TURNS_MOST, Balancer
-from stoatgw.decisions.cold import SETUP_US
 from stoatgw.decisions.interface import (
-    ClientGone,
+    AttemptStatus,
+    CheckHealth,
+    ClientDisconnected,
+    Endpoint,
+    EndpointUpdateKind,
+    HealthCheckResult,
     Lifecycle,
-    ListKind,
-    Move,
-    Probe,
-    ProbeResult,
-    Refuse,
+    Migrate,
+    Reject,
     Request,
     Send,
-    ServerEntry,
     SetTimer,
-    Status,
-    TimerDue,
+    TimerExpired,
 )
-from stoatgw.decisions.records import Connection, Server
+from stoatgw.decisions.records import ConnectionState, ServerState
+from stoatgw.decisions.slow_start import SETUP_US
 from tests.fleet import SECOND, T0, Stand, settings
 
 
 def large(rank: int = 0, balancers: int = 200, servers: int = 90, **changes: object) -> Stand:
     stand = Stand(settings(balancers=balancers, rank=rank, **changes), seed=rank)
-    stand.servers(*(ServerEntry(f"s{index}", zone=index % 3) for index in range(servers)))
+    stand.servers(*(Endpoint(f"s{index}", zone=index % 3) for index in range(servers)))
     return stand
 
 
 def test_probes_follow_the_clients_and_the_price_not_the_fleet() -> None:
     # Guards against balancers x servers probes a second: 0.5 of the service on a fleet of 235 x 81.
     stand = large(probe_price=0.002)
-    probes = len(stand.of(Probe))
+    probes = len(stand.of(CheckHealth))
     for _ in range(60):
         for _ in range(2):
             stand.ask()
         stand.period()
-        probes += len(stand.of(Probe))
+        probes += len(stand.of(CheckHealth))
     assert 60 <= probes <= 60 * 2 * 6  # 0.01 / 0.002 for each client, and a few at the start
 
 
 def test_probes_go_round_the_whole_fleet() -> None:
     stand = large(probe_price=0.002, servers=30)
-    seen = Counter(probe.server for probe in stand.of(Probe))
+    seen = Counter(probe.server for probe in stand.of(CheckHealth))
     for _ in range(100):
         stand.ask()
         stand.period()
-        seen.update(probe.server for probe in stand.of(Probe))
+        seen.update(probe.server for probe in stand.of(CheckHealth))
     assert len(seen) == 30
     assert min(seen.values()) >= 2
 
@@ -61,7 +61,7 @@
     count = 0
     for _ in range(40):
         stand.period()
-        count += len(stand.of(Probe))
+        count += len(stand.of(CheckHealth))
     assert 2 <= count <= 20
 
 
@@ -71,7 +71,7 @@
     looked = 0
     pressure = Balancer._pressure
 
-    def counted(balancer: Balancer, server: Server, units: float) -> float:
+    def counted(balancer: Balancer, server: ServerState, units: float) -> float:
         nonlocal looked
         looked += 1
         return pressure(balancer, server, units)
@@ -81,13 +81,13 @@
         stand.report(f"s{index}", 0.99, 50)
     monkeypatch.setattr(Balancer, "_pressure", counted)
     stand.ask()
-    assert stand.of(Refuse)
+    assert stand.of(Reject)
     assert 0 < looked <= 24
 
 
 def test_the_live_weight_tells_n_where_no_report_does() -> None:
     stand = Stand(settings(live_weights=True))
-    entries = [ServerEntry(name, weight=0.1) for name in ("a", "b", "c")]
+    entries = [Endpoint(name, weight=0.1) for name in ("a", "b", "c")]
     stand.servers(*entries)
     stand.report("a", 0.40, 40)
     stand.report("b", 0.40, 40)
@@ -95,7 +95,7 @@
     stand.now_us += 10 * SECOND
     # Half the weight: twice the connections. c has emptied meanwhile.
     weights = {"a": 0.05, "b": 0.05, "c": 0.4}
-    stand.servers(*(ServerEntry(name, weight=weight) for name, weight in weights.items()), kind=ListKind.DIFF)
+    stand.servers(*(Endpoint(name, weight=weight) for name, weight in weights.items()), kind=EndpointUpdateKind.DELTA)
     for _ in range(10):
         stand.ask()
         assert stand.sent_to() == "c"
@@ -104,11 +104,11 @@
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("nan"), float("inf"), 1e-300])
 def test_weights_beyond_belief_neither_draw_nor_crash(weight: float) -> None:
     stand = Stand(settings(live_weights=True))
-    stand.servers(ServerEntry("a", weight=0.1), ServerEntry("b", weight=0.1))
+    stand.servers(Endpoint("a", weight=0.1), Endpoint("b", weight=0.1))
     stand.report("a", 0.40, 40)
     stand.report("b", 0.40, 40)
     stand.now_us += 10 * SECOND
-    stand.servers(ServerEntry("a", weight=weight), kind=ListKind.DIFF)
+    stand.servers(Endpoint("a", weight=weight), kind=EndpointUpdateKind.DELTA)
     sent = Counter()  # type: Counter[str | None]
     for _ in range(20):
         stand.ask()
@@ -141,15 +141,15 @@
         stand.begin("1" * 16, "a")
         stand.report("b", 0.05, 10)
         stand.late("1" * 16, "a", 60.0)
-        moves += len(stand.of(Move))
+        moves += len(stand.of(Migrate))
     assert 5 <= moves <= 45
 
 
 def test_those_that_a_drain_sends_away_are_expected_from_peers_too() -> None:
     # Guards against 50 more on every server in a deploy: sent away and placed anew cancelled out.
-    def admitted(status: Status) -> int:
+    def admitted(status: AttemptStatus) -> int:
         stand = Stand(settings(balancers=10))
-        stand.servers(ServerEntry("a"), ServerEntry("old"))
+        stand.servers(Endpoint("a"), Endpoint("old"))
         stand.report("a", 0.40, 20)
         stand.report("old", 0.10, 20)
         for index in range(20):
@@ -157,27 +157,25 @@
             stand.begin(f"e{index:015x}", str(stand.sent_to()))
         stand.period(3)
         stand.period(3)
-        stand.servers(ServerEntry("old", Lifecycle.FADING), kind=ListKind.DIFF)
+        stand.servers(Endpoint("old", Lifecycle.DRAINING), kind=EndpointUpdateKind.DELTA)
         stand.report("a", 0.40, 20)
         for index in range(20):
             stand.ended(f"e{index:015x}", "old", status, final=True)
         count = 0
-        while not stand.of(Refuse) and count < 100:
+        while not stand.of(Reject) and count < 100:
             stand.ask()
             count += stand.sent_to() is not None
         return count
 
-    assert admitted(Status.REVOKED) < admitted(Status.DELIVERED)
+    assert admitted(AttemptStatus.REVOKED) < admitted(AttemptStatus.DELIVERED)
 
 
-def sends_to_young(
-    balancers: int, seconds: int, each_s: float, **changes: object
-) -> list[tuple[int, float]]:
+def sends_to_young(balancers: int, seconds: int, each_s: float, **changes: object) -> list[tuple[int, float]]:
     """All balancers together fill a server that just started, one after the other in small steps."""
     stands = []
     for rank in range(balancers):
         stand = Stand(settings(balancers=balancers, rank=rank, **changes), seed=rank)
-        stand.servers(ServerEntry("old"), ServerEntry("young", last_start_us=T0))
+        stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
         stand.report("old", 1.0, 50)  # r = 0.02: a full server holds 50 connections
         stands.append(stand)
     sends = []
@@ -224,7 +222,7 @@
     sent = 0
     for rank in range(40):
         stand = Stand(settings(balancers=40, rank=rank), seed=rank)
-        stand.servers(ServerEntry("old"), ServerEntry("young", last_start_us=T0))
+        stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
         stand.report("old", 1.0, 50)
         stand.now_us = T0 + 8 * SECOND
         for _ in range(10):
@@ -246,14 +244,14 @@
 def test_a_heavy_connection_is_sent_to_a_server_that_is_warm_enough() -> None:
     # Guards against heavy connections, most of the worth there, kept from new servers for good.
     stand = Stand(settings(balancers=3))
-    stand.servers(ServerEntry("old"), ServerEntry("young", last_start_us=T0))
+    stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
     stand.report("old", 1.0, 60)
     young = stand.balancer._servers["young"]
     room = []
     for step in range(1, 100):
         stand.now_us = T0 + step * SECOND // 10
         stand.period(0)
-        heavy = Connection(Request("heavy", profile=0, patience_left_us=SECOND), stand.now_us + SECOND, 4.0)
+        heavy = ConnectionState(Request("heavy", request_class=0, time_left_us=SECOND), stand.now_us + SECOND, 4.0)
         room.append(stand.balancer._cold_room(young, heavy))
     assert any(room)
     assert not any(room[:5])  # cold as it is at first, it would be pushed over
@@ -263,18 +261,18 @@
     stand = large(servers=20)
     for index in range(20):
         stand.report(f"s{index}", 0.30, 30)
-    stand.servers(*(ServerEntry(f"s{index}", zone=index % 3) for index in range(200)))
+    stand.servers(*(Endpoint(f"s{index}", zone=index % 3) for index in range(200)))
     stand.ask()
     assert stand.of(Send)
-    stand.servers(*(ServerEntry(f"s{index}", zone=index % 3) for index in range(2)))
+    stand.servers(*(Endpoint(f"s{index}", zone=index % 3) for index in range(2)))
     stand.period()
     stand.period()  # what peers may have placed is shown by now
     stand.ask()
     assert stand.sent_to() in ("s0", "s1")
     stand.servers()
     stand.ask()
-    assert stand.of(Refuse)
-    stand.servers(ServerEntry("s1"))
+    assert stand.of(Reject)
+    stand.servers(Endpoint("s1"))
     stand.period()
     stand.period()
     stand.ask()
@@ -284,7 +282,7 @@
 @pytest.mark.parametrize(("balancers", "rank"), [(1, 500), (3, 3), (250, 10**6)])
 def test_a_rank_beyond_the_count_still_serves(balancers: int, rank: int) -> None:
     stand = Stand(settings(balancers=balancers, rank=rank))
-    stand.servers(ServerEntry("a"), ServerEntry("b", last_start_us=T0))
+    stand.servers(Endpoint("a"), Endpoint("b", started_us=T0))
     stand.report("a", 0.30, 30)
     stand.ask()
     assert stand.of(Send)
@@ -298,8 +296,8 @@
     for index in range(2):
         request = f"{index:016x}"
         stand.ask(request=request)
-        stand.ended(request, str(stand.sent_to()), Status.EXPIRED)
-        stand.ended(request, str(stand.sent_to()), Status.EXPIRED, attempt=1)
+        stand.ended(request, str(stand.sent_to()), AttemptStatus.EXPIRED)
+        stand.ended(request, str(stand.sent_to()), AttemptStatus.EXPIRED, attempt=1)
     sent = 0
     for _ in range(10):
         stand.ask()
@@ -318,7 +316,7 @@
         stand.ask(request=f"{index:016x}")
         assert stand.sent_to() == "a"
         stand.begin(f"{index:016x}", "a")
-    stand.ended("0" * 16, "a", Status.REVOKED, final=True)
+    stand.ended("0" * 16, "a", AttemptStatus.REVOKED, final=True)
     for _ in range(6):
         stand.ask()
         assert stand.sent_to() in ("b", "c")
@@ -335,7 +333,9 @@
     stand.period(5)
     for index in range(30):  # what they say when they are asked: those of odd number are full
         full = index % 2 == 1
-        stand.told[f"s{index}"] = ProbeResult(f"s{index}", Status.DELIVERED, 1_000, (0.95 if full else 0.3, 40.0))
+        stand.told[f"s{index}"] = HealthCheckResult(
+            f"s{index}", AttemptStatus.DELIVERED, 1_000, (0.95 if full else 0.3, 40.0)
+        )
     return stand
 
 
@@ -346,7 +346,7 @@
         stand.ask()
         server = stand.sent_to()
         assert server is None or int(server[1:]) % 2 == 0
-        assert len(stand.of(Probe)) <= 4
+        assert len(stand.of(CheckHealth)) <= 4
         stand.now_us += 3 * SECOND
         stand.period(0)
 
@@ -359,17 +359,17 @@
     assert timer.at_us - stand.now_us == 100_000
     for _ in range(2):  # nobody answers, nor in the second round: what was told before has to do
         stand.now_us = timer.at_us
-        actions = stand.event(TimerDue(timer.token))
+        actions = stand.event(TimerExpired(timer.token))
         timer = stand.of(SetTimer)[0] if stand.of(SetTimer) else timer
     assert stand.of(Send) and actions
-    assert stand.event(TimerDue(timer.token)) == []  # a timer of a wait that is over does nothing
+    assert stand.event(TimerExpired(timer.token)) == []  # a timer of a wait that is over does nothing
 
 
 def test_a_client_that_leaves_while_it_waits_is_forgotten() -> None:
     stand = told_long_ago()
     stand.event(Request("a" * 16, 0, 2 * SECOND))
-    probes = stand.of(Probe)
-    stand.event(ClientGone("a" * 16))
+    probes = stand.of(CheckHealth)
+    stand.event(ClientDisconnected("a" * 16))
     assert not stand.balancer._connections
     for probe in probes:
         stand.event(stand.told[probe.server])
@@ -393,6 +393,6 @@
     stand.ask()
     assert stand.of(Send)
     for request, server in stood:
-        stand.ended(request, server, Status.DROPPED, final=True)
+        stand.ended(request, server, AttemptStatus.DROPPED, final=True)
     stand.ask()
-    assert stand.of(Refuse)
+    assert stand.of(Reject)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -11,18 +11,25 @@
 import pytest
 import uvloop
 
-from stoatgw.backends.backend import Backends
-from stoatgw.backends.delays import Messages, latest_ms
-from stoatgw.backends.probe import Columns, Prober
-from stoatgw.clients.context import ProxyContext, RecentIds, Standing
+from stoatgw.backends.backend import BackendRegistry
+from stoatgw.backends.health_check import HealthChecker, LoadReportSchema
+from stoatgw.backends.latency import MessageLatencyTracker, current_latency_ms
+from stoatgw.clients.context import EstablishedSession, ProxyContext, RecentIds
+from stoatgw.clients.descriptor_limiter import DescriptorLimiter
 from stoatgw.clients.listener import WATCH_S, Listener
-from stoatgw.clients.room import Room
 from stoatgw.clients.session import BOUNDARY_S
+from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, read
-from stoatgw.decisions.interface import ListKind, ListUpdate, NoteKind, Request, ServerEntry
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import Arrived, Drain, Heard, Listed, Message, Req
-from stoatgw.owner.owner import Owner
+from stoatgw.controller.controller import Controller
+from stoatgw.controller.messages import (
+    BeginDrain,
+    EndpointsUpdated,
+    Message,
+    RequestReceived,
+    RequestState,
+    SessionMetricObserved,
+)
+from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Request, SessionMetricKind
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.test_director import CONFIG
@@ -37,25 +44,25 @@
 
     def __init__(self) -> None:
         self.deployment = read(CONFIG)
-        self.clock, self.counters, self.backends = Clock(), Counters(), Backends()
+        self.clock, self.counters, self.backends = Clock(), Counters(), BackendRegistry()
         log = EventLog("test")
-        self.owner = Owner(self.deployment.settings, 1, self.clock, log, self.counters)
-        columns = Columns(self.deployment.settings.report_columns)
-        self.prober = Prober(self.owner, self.clock, columns, 250_000, self.counters)
-        self.room = Room(self.deployment.sockets)
+        self.owner = Controller(self.deployment.settings, 1, self.clock, log, self.counters)
+        columns = LoadReportSchema(self.deployment.settings.report_columns)
+        self.prober = HealthChecker(self.owner, self.clock, columns, 250_000, self.counters)
+        self.room = DescriptorLimiter(self.deployment.sockets)
         self.context = ProxyContext(
-            self.deployment, self.owner, self.backends, self.clock, columns.row, self.counters, log, self.room
+            self.deployment, self.owner, self.backends, self.clock, columns.to_row, self.counters, log, self.room
         )
         self.listener = Listener(self.context)
         self.asked: list[bytes] = []
         self.ids = 0
 
-    def probe(self, server: str) -> None:
+    def check_health(self, server: str) -> None:
         pass
 
-    close_idle = probe
+    close_idle = check_health
 
-    def fetch_list(self) -> None:
+    def fetch_endpoints(self) -> None:
         pass
 
     async def client(self) -> Streams:
@@ -72,7 +79,7 @@
         backend = self.backends.get("s")
         assert backend is not None
         for count in (1, 2):
-            self.prober.probe(backend)
+            self.prober.check(backend)
             while sum(n for name, n in self.counters.all().items() if name.startswith("probes_")) < count:
                 await asyncio.sleep(0.01)
         self.prober.close("s")
@@ -81,7 +88,7 @@
     async def settle(self) -> None:
         """Wait until nothing is left behind."""
         async with asyncio.timeout(5):
-            while self.listener.open or self.owner.open or self.context.standing:
+            while self.listener.open or self.owner.open_requests or self.context.established_sessions:
                 await asyncio.sleep(0.01)
 
     async def play(self, serve: Serve, test: Callable[[Proxy], Awaitable[None]]) -> None:
@@ -91,14 +98,14 @@
 
         server = await asyncio.start_server(taken, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        entry = ServerEntry("s")
-        self.backends.listed([(entry, "127.0.0.1", port)], True, 0)
+        entry = Endpoint("s")
+        self.backends.update([(entry, "127.0.0.1", port)], True, 0)
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.port = free.getsockname()[1]
         self.listener.bind(Address("127.0.0.1", self.port))
         self.owner.start(self)
-        self.owner.put(Listed(ListUpdate(ListKind.SNAPSHOT, 1, (entry,))))
+        self.owner.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, (entry,))))
         loop = asyncio.get_running_loop()
         tasks = [loop.create_task(run()) for run in (self.owner.run, self.listener.run)]
         try:
@@ -195,7 +202,7 @@
         await reader.readline()
         writer.write(b"HALF\r\n")
         assert await reader.readexactly(3) == b"hal"
-        proxy.context.standing["0000000000000001"].give_up()
+        proxy.context.established_sessions["0000000000000001"].give_up()
         writer.write(b"f\r\n")
         assert await reader.read() == b"f\r\nMOVE\r\n"
         writer.close()
@@ -209,7 +216,7 @@
         standing = [await proxy.ask() for _ in range(5)]
         for reader, _ in standing:
             assert await reader.readline() == b"UP 77\r\n"
-        proxy.owner.put(Drain(0, 10_000))
+        proxy.owner.post(BeginDrain(0, 10_000))
         for reader, writer in standing:
             assert await reader.read() == b"MOVE\r\n"
             writer.close()
@@ -252,7 +259,7 @@
         proxy.backends._backends["s"] = kept
         writer.write(b"PING\r\n")
         assert await reader.readline() == b"PONG\r\n"
-        proxy.context.course.drain()
+        proxy.context.lifecycle.begin_drain()
         writer.write(b"PING\r\n")
         assert await reader.readline() == b"BUSY\r\n"
         writer.close()
@@ -300,40 +307,40 @@
 
     connections: list[int] = []
     play(serve, test)
-    columns = Columns(("errors_per_s", "outstanding", "x0"))
-    assert columns.row({"x0": 0.5, "inflight": 7, "odd": 1}) == (None, 7, 0.5)
+    columns = LoadReportSchema(("errors_per_s", "outstanding", "x0"))
+    assert columns.to_row({"x0": 0.5, "inflight": 7, "odd": 1}) == (None, 7, 0.5)
 
 
 def test_message_times_tell_the_last_answer_and_what_is_overdue() -> None:
-    one, two = Messages(), Messages()
-    one.ask([b"a"], 1_000_000)
-    one.answer(b"a", 1_040_000)
-    assert latest_ms([one, two], 1_500_000) == 40
-    two.ask([b"b", b"c"], 1_400_000)
-    assert latest_ms([one, two], 1_500_000) == 100
-    two.answer(b"b", 1_520_000)
-    assert (latest_ms([one, two], 1_520_000), two.overdue_us(1_520_000)) == (120, 120_000)
-    assert latest_ms([one], 3_000_000) == 0
+    one, two = MessageLatencyTracker(), MessageLatencyTracker()
+    one.record_sent([b"a"], 1_000_000)
+    one.record_reply(b"a", 1_040_000)
+    assert current_latency_ms([one, two], 1_500_000) == 40
+    two.record_sent([b"b", b"c"], 1_400_000)
+    assert current_latency_ms([one, two], 1_500_000) == 100
+    two.record_reply(b"b", 1_520_000)
+    assert (current_latency_ms([one, two], 1_520_000), two.oldest_pending_us(1_520_000)) == (120, 120_000)
+    assert current_latency_ms([one], 3_000_000) == 0
 
 
 @pytest.mark.parametrize("echoes", [True, False])
 def test_a_line_never_answered_does_not_make_each_later_answer_late(echoes: bool) -> None:
-    messages = Messages()
-    messages.ask([b"lost"], 0)
+    messages = MessageLatencyTracker()
+    messages.record_sent([b"lost"], 0)
     for second in range(2, 8, 2):
         asked = b"line %d" % second
-        messages.ask([asked], second * 1_000_000)
-        messages.answer(asked if echoes else b"ok", second * 1_000_000 + 200)
-    assert latest_ms([messages], 6_000_200) == 0.2 and not messages.asked
+        messages.record_sent([asked], second * 1_000_000)
+        messages.record_reply(asked if echoes else b"ok", second * 1_000_000 + 200)
+    assert current_latency_ms([messages], 6_000_200) == 0.2 and not messages.asked
 
 
 def test_a_line_passed_over_is_not_overdue() -> None:
-    one, two = Messages(), Messages()
-    one.ask([b"lost"], 1_000_000)
-    assert latest_ms([one, two], 1_900_000) == 900
-    two.ask([b"b"], 1_950_000)
-    two.answer(b"b", 1_950_100)
-    assert latest_ms([one, two], 2_000_000) == 0.1
+    one, two = MessageLatencyTracker(), MessageLatencyTracker()
+    one.record_sent([b"lost"], 1_000_000)
+    assert current_latency_ms([one, two], 1_900_000) == 900
+    two.record_sent([b"b"], 1_950_000)
+    two.record_reply(b"b", 1_950_100)
+    assert current_latency_ms([one, two], 2_000_000) == 0.1
 
 
 def test_an_open_id_is_never_forgotten_and_ended_ones_stay_bounded() -> None:
@@ -347,24 +354,28 @@
 
 @pytest.mark.parametrize(
     ("tells", "means"),
-    [((True, False), NoteKind.DELAY), ((False, False), NoteKind.LOAD), ((True, True), NoteKind.LOAD)],
+    [
+        ((True, False), SessionMetricKind.DELAY),
+        ((False, False), SessionMetricKind.LOAD),
+        ((True, True), SessionMetricKind.LOAD),
+    ],
 )
-def test_a_load_line_means_what_the_settings_tell(tells: tuple[bool, bool], means: NoteKind) -> None:
+def test_a_load_line_means_what_the_settings_tell(tells: tuple[bool, bool], means: SessionMetricKind) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"UP 1\r\nLOAD 320\r\n")
         await reader.read()
         writer.close()
 
     async def test(proxy: Proxy) -> None:
-        heard: list[Heard] = []
-        put = proxy.owner.put
+        heard: list[SessionMetricObserved] = []
+        put = proxy.owner.post
 
         def listen(message: Message) -> None:
-            if isinstance(message, Heard):
+            if isinstance(message, SessionMetricObserved):
                 heard.append(message)
             put(message)
 
-        proxy.owner.put = listen  # type: ignore[method-assign]
+        proxy.owner.post = listen  # type: ignore[method-assign]
         domain = {"tells_delay": tells[0], "tells_load": tells[1]}
         proxy.context.deployment = read(CONFIG | {"settings": CONFIG["settings"] | {"domain": domain}})
         _, writer = await proxy.ask()
@@ -381,14 +392,14 @@
     # Guards against all clients counted as the first tenant: with quotas, each proxy took nearly all for worthless.
     async def test(proxy: Proxy) -> None:
         asked: list[int] = []
-        put = proxy.owner.put
+        put = proxy.owner.post
 
         def listen(message: Message) -> None:
-            if isinstance(message, Arrived):
-                asked.append(message.req.asked.tenant)
+            if isinstance(message, RequestReceived):
+                asked.append(message.state.request.tenant)
             put(message)
 
-        proxy.owner.put = listen  # type: ignore[method-assign]
+        proxy.owner.post = listen  # type: ignore[method-assign]
         tenants = [{"name": "selangor"}, {"name": "johor"}]
         proxy.context.deployment = read(CONFIG | {"settings": CONFIG["settings"] | {"tenants": tenants}})
         proxy.context.__post_init__()
@@ -407,16 +418,16 @@
 
     async def test(proxy: Proxy) -> None:
         held = list[Message]()
-        setattr(proxy.owner, "put", held.append)  # noqa: B010
+        setattr(proxy.owner, "post", held.append)  # noqa: B010
         _, writer = await proxy.ask()
         while not held:
             await asyncio.sleep(0.01)
         writer.close()
         while proxy.listener.open:
             await asyncio.sleep(0.01)
-        delattr(proxy.owner, "put")
+        delattr(proxy.owner, "post")
         for message in held:
-            proxy.owner.put(message)
+            proxy.owner.post(message)
         while not proxy.counters["fetches"]:
             await asyncio.sleep(0.01)
         await proxy.settle()
@@ -431,16 +442,16 @@
     async def test(proxy: Proxy) -> None:
         given: list[float] = []
         for silent_us in (0, 1_999_999):
-            messages, start_us = Messages(), proxy.clock.now_us()
-            messages.ask([b"last"], start_us)
-            messages.answer(b"last", start_us)
-            messages.ask([b"next"], start_us + silent_us)
-            req = Req(Request("0" * 16, 0, 2_000_000), 0, None)  # type: ignore[arg-type]
-            proxy.context.standing = {"x": Standing(req, "s", messages, lambda: given.append(1))}
+            messages, start_us = MessageLatencyTracker(), proxy.clock.now_us()
+            messages.record_sent([b"last"], start_us)
+            messages.record_reply(b"last", start_us)
+            messages.record_sent([b"next"], start_us + silent_us)
+            req = RequestState(Request("0" * 16, 0, 2_000_000), 0, None)  # type: ignore[arg-type]
+            proxy.context.established_sessions = {"x": EstablishedSession(req, "s", messages, lambda: given.append(1))}
             latest_us = start_us + 7_000_000 - int((WATCH_S + BOUNDARY_S) * 1e6)
             proxy.context.clock = SimpleNamespace(now_us=lambda latest_us=latest_us: latest_us)  # type: ignore[assignment]
             proxy.listener._look(False)
         assert given == [1, 1]
-        proxy.context.standing = {}
+        proxy.context.established_sessions = {}
 
     play(echo, test)
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -66,7 +66,7 @@
         assert free, f"a circle among {sorted(needs)}"
         needs = {name: inner - free for name, inner in needs.items() if name not in free}
     owner = (ROOT / "stoatgw" / "owner").glob("*.py")
-    assert not any("stoatgw.lines" in path.read_text() for path in owner)
+    assert not any("stoatgw.line_protocol" in path.read_text() for path in owner)
 
 
 def test_the_service_knows_nothing_of_the_lab() -> None:
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -12,12 +12,12 @@
 from hypothesis import strategies as st
 
 from stoatgw.config.deployment import ConfigError
-from stoatgw.config.maintenance import Plan
-from stoatgw.config.operators import load_operators
-from stoatgw.config.sharing import Sharing
-from stoatgw.emulator.loopback.upkeep import Upkeep
+from stoatgw.config.maintenance import MaintenancePlan
+from stoatgw.config.operators import load_operator_config
+from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
+from stoatgw.emulator.loopback.maintenance_run import MaintenanceRun
 from stoatgw.lab.sharing import Fleet
-from stoatgw.membership.assign import SLACK, assign, order
+from stoatgw.membership.rendezvous import SLACK, assign, order
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
 NAMES = st.sets(st.text("abcdefgh", min_size=1, max_size=5), min_size=2, max_size=12)
@@ -51,7 +51,7 @@
     fleet.run(4.0)
     assert set(fleet.rates().values()) <= {3.75, 4.0, 4.25}  # four a second, from all three together
     assert all(proxy.told >= {f"s-{place}" for place in range(30)} for proxy in fleet.proxies)
-    assert sum(len(proxy.agent.holds) for proxy in fleet.proxies) == 30
+    assert sum(len(proxy.agent.assigned_servers) for proxy in fleet.proxies) == 30
 
 
 @pytest.mark.parametrize("how", ["killed", "frozen", "cut off"])
@@ -63,7 +63,7 @@
     fleet.run(10.0)
     assert fleet.longest_gap_s() <= 1.0
     # One that is cut off goes on by what it knows until its lease is over, then probes as without sharing.
-    assert not fleet.proxies[0].agent.shares
+    assert not fleet.proxies[0].agent.is_sharing
     # Until then its servers are probed by two: at least once, not at most once.
     assert all(0.9 <= rate / 4.0 <= (1.35 if how == "cut off" else 1.1) for rate in fleet.rates().values())
     if how == "killed":
@@ -74,7 +74,7 @@
         before = len(fleet.probes)
         fleet.run(1.0)
         assert len(fleet.probes) - before <= 1.1 * 4 * 30  # one that comes back takes nobody else for dead
-    assert fleet.proxies[0].agent.shares and len(fleet.proxies[0].agent.holds) > 0
+    assert fleet.proxies[0].agent.is_sharing and len(fleet.proxies[0].agent.assigned_servers) > 0
     assert all(abs(rate / 4.0 - 1.0) <= 0.1 for rate in fleet.rates().values())
 
 
@@ -84,9 +84,9 @@
     for place in range(3):
         fleet.lose(place, "cut off")
     fleet.run(4.0)
-    assert not any(proxy.agent.shares for proxy in fleet.proxies)
+    assert not any(proxy.agent.is_sharing for proxy in fleet.proxies)
     fleet.mark()
-    fleet.proxies[1].agent.wanted("s-3")
+    fleet.proxies[1].agent.request_health_check("s-3")
     fleet.run(1.0)
     assert fleet.rates() == {f"s-{place}": float(place == 3) for place in range(10)}
 
@@ -116,22 +116,22 @@
     file = tmp_path / "own.toml"
     file.write_text("version = 1\n" + text)
     with pytest.raises(ConfigError) as fault:
-        load_operators(str(file))
+        load_operator_config(str(file))
     assert field in str(fault.value) and str(file) in str(fault.value) and "\n" not in str(fault.value)
 
 
 def test_real_proxies_share_take_over_and_fall_back(tmp_path: Path) -> None:
     """Three processes and the stand-in: one killed, then the engine. All servers go on being probed."""
-    plan = Plan(name="none", machines=("s-0",), members_least=99)  # begins nothing
+    plan = MaintenancePlan(name="none", machines=("s-0",), members_least=99)  # begins nothing
 
-    async def more(up: Upkeep, count: int) -> None:
+    async def more(up: MaintenanceRun, count: int) -> None:
         had = {server.name: server.probed for server in up.servers}
         while not all(server.probed >= had[server.name] + count for server in up.servers):
             await asyncio.sleep(0.02)
 
     async def play() -> None:
-        sharing = Sharing(probe_ms=100, stale_ms=600)
-        async with Upkeep(tmp_path, plan, sharing=sharing) as up, asyncio.timeout(60):
+        sharing = SharedHealthChecksConfig(probe_ms=100, stale_ms=600)
+        async with MaintenanceRun(tmp_path, plan, sharing=sharing) as up, asyncio.timeout(60):
             while not all(proxy.told("sharing_begins") for proxy in up.proxies):
                 await asyncio.sleep(0.02)
             await more(up, 10)
