--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,18 +12,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatgw.backends.backend import Backends
+from stoatgw.backends.backend import BackendRegistry
+from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address
-from stoatgw.decisions.interface import Lifecycle, ServerEntry
-from stoatgw.director.backoff import Backoff
-from stoatgw.director.director import Director
-from stoatgw.director.list import ListReader
-from stoatgw.owner.clock import Clock
-from stoatgw.owner.messages import Listed, Message, Stood, Vacate
-from stoatgw.suspension.keeper import Keeper
-from stoatgw.suspension.outs import VACATE_US, Outs
-from stoatgw.suspension.overlay import Overlay
-from stoatgw.suspension.store import NAME, Store, StoreError, decode, encode
+from stoatgw.controller.messages import EndpointsUpdated, EvacuateServer, Message, SessionRestored
+from stoatgw.decisions.interface import Endpoint, Lifecycle
+from stoatgw.discovery.backoff import Backoff
+from stoatgw.discovery.client import DiscoveryClient
+from stoatgw.discovery.endpoint_list import EndpointListParser
+from stoatgw.suspension.applier import VACATE_US, SuspensionApplier
+from stoatgw.suspension.overrides import EndpointOverrides
+from stoatgw.suspension.service import SuspensionService
+from stoatgw.suspension.store import NAME, SuspensionStore, SuspensionStoreError, decode, encode
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.test_director import entry, page
@@ -31,49 +31,49 @@
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=200)
 NAMES = st.sampled_from(["a", "b"])
-STATES = st.sampled_from([Lifecycle.ON, Lifecycle.FADING, Lifecycle.OFF])
+STATES = st.sampled_from([Lifecycle.ACTIVE, Lifecycle.DRAINING, Lifecycle.REMOVED])
 STEP = st.one_of(
     st.tuples(st.just("list"), NAMES, STATES, st.booleans()),
-    st.tuples(st.sampled_from(["out", "back"]), NAMES, st.just(Lifecycle.ON), st.just(False)),
+    st.tuples(st.sampled_from(["out", "back"]), NAMES, st.just(Lifecycle.ACTIVE), st.just(False)),
 )
 
 
 @FIXED
 @given(st.lists(STEP, max_size=20))
 def test_nothing_that_discovery_says_makes_a_banned_server_ready(steps: list[tuple[str, str, Lifecycle, bool]]) -> None:
-    overlay, now_us = Overlay(), 1_000
-    listed = {name: ServerEntry(name) for name in "ab"}
+    overlay, now_us = EndpointOverrides(), 1_000
+    listed = {name: Endpoint(name) for name in "ab"}
     out: dict[str, int] = {}
     unproved = dict[str, int]()  # banned since, for those back whose restart no list has told yet
     for word, name, state, restarted in steps:
         now_us += 10
         if word == "list":
-            start_us = now_us if restarted else listed[name].last_start_us
-            listed[name] = ServerEntry(name, state, last_start_us=start_us)
+            start_us = now_us if restarted else listed[name].started_us
+            listed[name] = Endpoint(name, state, started_us=start_us)
         elif word == "out":
             out.setdefault(name, now_us)
         elif name in out:
             unproved[name] = out.pop(name)
-        overlay.take(out, now_us)
+        overlay.replace(out, now_us)
         for each in listed.values():
-            seen = overlay.lay(each)
-            if each.server in out:
-                assert seen.lifecycle is not Lifecycle.ON
+            seen = overlay.apply(each)
+            if each.name in out:
+                assert seen.lifecycle is not Lifecycle.ACTIVE
             else:
                 assert seen.lifecycle is each.lifecycle
-                told = each.last_start_us >= unproved.get(each.server, 0)
-                assert (seen.last_start_us == each.last_start_us) == told
-                assert seen.last_start_us >= each.last_start_us
+                told = each.started_us >= unproved.get(each.name, 0)
+                assert (seen.started_us == each.started_us) == told
+                assert seen.started_us >= each.started_us
 
 
 def test_the_file_cut_or_changed_at_any_byte_is_told_and_not_believed(tmp_path: Path) -> None:
-    whole, store = encode({"s-1": 5, "s-2": 6}), Store(tmp_path)
+    whole, store = encode({"s-1": 5, "s-2": 6}), SuspensionStore(tmp_path)
     assert store.load() == {} and store.seen() is None
     for place in range(len(whole)):
         (tmp_path / NAME).write_bytes(whole[:place])
-        with pytest.raises(StoreError, match=NAME):
+        with pytest.raises(SuspensionStoreError, match=NAME):
             store.load()
-        with pytest.raises(StoreError, match=NAME):
+        with pytest.raises(SuspensionStoreError, match=NAME):
             store.change("s-3", 7)
         assert (tmp_path / NAME).read_bytes() == whole[:place]
         with pytest.raises(ValueError):
@@ -83,7 +83,7 @@
 
 
 def test_two_processes_change_one_file(tmp_path: Path) -> None:
-    one, two = Store(tmp_path), Store(tmp_path)
+    one, two = SuspensionStore(tmp_path), SuspensionStore(tmp_path)
     assert one.change("a", 1) == {"a": 1}
     assert two.change("b", 2) == {"a": 1, "b": 2}
     assert one.change("a", 9) == {"a": 1, "b": 2}  # out since the first call
@@ -94,7 +94,7 @@
     def __init__(self) -> None:
         self.told: list[Message] = []
 
-    def put(self, message: Message) -> None:
+    def post(self, message: Message) -> None:
         self.told.append(message)
 
 
@@ -102,19 +102,27 @@
     """One process's keeper and director, with an inbox in the owner's place."""
 
     def __init__(self, folder: Path) -> None:
-        self.inbox, self.overlay, clock, log = Inbox(), Overlay(), Clock(), EventLog("test")
-        self.director = Director(
-            Address("127.0.0.1", 1), ListReader(("a", "b"), ()), Backends(), self.inbox, clock,  # type: ignore[arg-type]
-            lambda _: None, log, Counters(), Backoff(1, random.Random(1)), lay=self.overlay.lay,
-        )  # fmt: skip
-        self.outs = Outs(self.overlay, self.director, self.inbox, clock, log)  # type: ignore[arg-type]
-        self.keeper = Keeper(str(folder), self.outs, self.director, clock, log)
-        self.keeper.begin()
-        self.director.known(page(entry()))
+        self.inbox, self.overlay, clock, log = Inbox(), EndpointOverrides(), Clock(), EventLog("test")
+        self.director = DiscoveryClient(
+            Address("127.0.0.1", 1),
+            EndpointListParser(("a", "b"), ()),
+            BackendRegistry(),
+            self.inbox,
+            clock,
+            lambda _: None,
+            log,
+            Counters(),
+            Backoff(1, random.Random(1)),
+            lay=self.overlay.apply,
+        )
+        self.outs = SuspensionApplier(self.overlay, self.director, self.inbox, clock, log)  # type: ignore[arg-type]
+        self.keeper = SuspensionService(str(folder), self.outs, self.director, clock, log)
+        self.keeper.start()
+        self.director.load_snapshot(page(entry()))
 
     def state(self) -> Lifecycle:
-        listed = [message for message in self.inbox.told if isinstance(message, Listed)]
-        return listed[-1].update.entries[-1].lifecycle
+        listed = [message for message in self.inbox.told if isinstance(message, EndpointsUpdated)]
+        return listed[-1].update.endpoints[-1].lifecycle
 
 
 def in_a_loop(test: Callable[[Path, pytest.MonkeyPatch], None]) -> Callable[[Path, pytest.MonkeyPatch], None]:
@@ -132,17 +140,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old, new = Side(tmp_path), Side(tmp_path)
-    assert old.state() is Lifecycle.ON and not old.keeper.known("s-9")
+    assert old.state() is Lifecycle.ACTIVE and not old.keeper.has_server("s-9")
     assert old.keeper.suspend("s-1") == old.keeper.suspend("s-1") == ""
-    assert old.state() is Lifecycle.FADING and Vacate("s-1", True, VACATE_US) in old.inbox.told
-    new.keeper.look()
-    assert new.state() is Lifecycle.FADING
-    old.director.known(page(entry(startedAtMs=9)))  # restarted, and listed whole once more
-    assert old.state() is Lifecycle.FADING
-    assert Side(tmp_path).state() is Lifecycle.FADING
+    assert old.state() is Lifecycle.DRAINING and EvacuateServer("s-1", True, VACATE_US) in old.inbox.told
+    new.keeper.poll()
+    assert new.state() is Lifecycle.DRAINING
+    old.director.load_snapshot(page(entry(startedAtMs=9)))  # restarted, and listed whole once more
+    assert old.state() is Lifecycle.DRAINING
+    assert Side(tmp_path).state() is Lifecycle.DRAINING
     assert new.keeper.resume("s-1") == ""
-    old.keeper.look()
-    assert old.state() is new.state() is Side(tmp_path).state() is Lifecycle.ON
+    old.keeper.poll()
+    assert old.state() is new.state() is Side(tmp_path).state() is Lifecycle.ACTIVE
 
 
 @in_a_loop
@@ -156,14 +164,14 @@
 
     with monkeypatch.context() as patch:
         patch.setattr(Path, "write_bytes", full)
-        assert "No space" in side.keeper.suspend("s-1") and side.state() is Lifecycle.FADING
+        assert "No space" in side.keeper.suspend("s-1") and side.state() is Lifecycle.DRAINING
     assert side.keeper.suspend("s-1") == ""
     with monkeypatch.context() as patch:
         patch.setattr(Path, "write_bytes", full)
-        assert "No space" in side.keeper.resume("s-1") and side.state() is Lifecycle.FADING
+        assert "No space" in side.keeper.resume("s-1") and side.state() is Lifecycle.DRAINING
     (tmp_path / NAME).write_bytes(b"not ours")
-    side.keeper.look()
-    assert side.state() is Lifecycle.FADING and "none of ours" in side.keeper.resume("s-1")
+    side.keeper.poll()
+    assert side.state() is Lifecycle.DRAINING and "none of ours" in side.keeper.resume("s-1")
     assert sorted(path.name for path in tmp_path.iterdir()) == [NAME, f"{NAME}.lock"]
 
 
@@ -171,10 +179,10 @@
     async def play(stand: Stand) -> None:
         await stand.servers("a", "b")
         reqs = [stand.req() for _ in range(3)]
-        stood = Stood(reqs[0][0], "a"), Stood(reqs[1][0], "b")
-        await stand.take(*stood, Vacate("a", True), Vacate("b", True), Vacate("b", False))
+        stood = SessionRestored(reqs[0][0], "a"), SessionRestored(reqs[1][0], "b")
+        await stand.take(*stood, EvacuateServer("a", True), EvacuateServer("b", True), EvacuateServer("b", False))
         await asyncio.sleep(0.01)
-        await stand.take(Stood(reqs[2][0], "a"))
+        await stand.take(SessionRestored(reqs[2][0], "a"))
         assert [door.told for _, door in reqs] == [["move"], [], ["move"]]
 
     drive(play)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -15,11 +15,11 @@
 import pytest
 
 from stoatgw.config.deployment import Address, ConfigError
+from stoatgw.hot_restart.handover import LEARN_US, LIST_US, may_begin, newer
+from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
+from stoatgw.hot_restart.socket_activation import adopt
 from stoatgw.service import every
 from stoatgw.telemetry.log import EventLog
-from stoatgw.upgrade.inherited import adopt
-from stoatgw.upgrade.peers import Peer, Peers
-from stoatgw.upgrade.plan import LEARN_US, LIST_US, may_begin, newer
 from tests.test_director import CONFIG, entry, page
 from tests.test_reload import discovery, events
 from tests.test_sessions import echo
@@ -39,23 +39,27 @@
     other = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     deaf = socket.socket()
     for text, listen in (
-        ("4x", here), ("-1", here), ("99999", here), (str(os.open("/dev/null", 0)), here),
-        (str(other.fileno()), here), (str(deaf.fileno()), here),
+        ("4x", here),
+        ("-1", here),
+        ("99999", here),
+        (str(os.open("/dev/null", 0)), here),
+        (str(other.fileno()), here),
+        (str(deaf.fileno()), here),
         (str(listening.fileno()), Address("127.0.0.1", 1)),
-    ):  # fmt: skip
+    ):
         with pytest.raises(ConfigError, match=r"^LB_LISTEN_FD: [^\n]+$"):
             adopt(text, listen)
     assert listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # still as it was
 
 
 def test_only_processes_that_live_are_seen(tmp_path: Path) -> None:
-    mine = Peers(tmp_path)
-    mine.join(Peer(False, 1, 0))
+    mine = SiblingProcesses(tmp_path)
+    mine.join(ProcessRecord(False, 1, 0))
     (tmp_path / "stoatgw-process-7.lock").write_bytes(b"left behind")
     (tmp_path / "stoatgw-process-9.lock").write_bytes(b"cut")
     other = os.open(tmp_path / "stoatgw-process-9.lock", os.O_RDWR)
     fcntl.flock(other, fcntl.LOCK_EX)
-    assert mine.others() == [Peer(False, 0, 0)]
+    assert mine.others() == [ProcessRecord(False, 0, 0)]
     assert not (tmp_path / "stoatgw-process-7.lock").exists()
     os.close(other)
     assert mine.others() == []
@@ -67,8 +71,8 @@
     assert not may_begin(0, None, True, LIST_US - 1) and may_begin(0, None, True, LIST_US)
     assert not may_begin(0, None, False, 9 * LIST_US) and not may_begin(0, 5, True, LEARN_US)
     assert may_begin(0, 5, True, LEARN_US + 5)
-    old, new = Peer(True, 1, 0), Peer(True, 2, 0)
-    assert newer(old, [new]) and not newer(new, [old]) and not newer(old, [Peer(False, 2, 0)])
+    old, new = ProcessRecord(True, 1, 0), ProcessRecord(True, 2, 0)
+    assert newer(old, [new]) and not newer(new, [old]) and not newer(old, [ProcessRecord(False, 2, 0)])
 
 
 class Platform:
@@ -99,8 +103,12 @@
             free.bind(("127.0.0.1", 0))
             port: int = free.getsockname()[1]
         fd = self.sock.fileno()
-        told = {"LB_CONFIG": str(self.config), "LB_MANAGEMENT": f"127.0.0.1:{port}", "LB_LISTEN_FD": str(fd),
-                "TMPDIR": str(self.folder / "tmp")}  # fmt: skip
+        told = {
+            "LB_CONFIG": str(self.config),
+            "LB_MANAGEMENT": f"127.0.0.1:{port}",
+            "LB_LISTEN_FD": str(fd),
+            "TMPDIR": str(self.folder / "tmp"),
+        }
         program = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "stoatgw", env=os.environ | told, stdout=-1, pass_fds=[fd]
         )
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -10,30 +10,30 @@
 
 from stoatgw.config.settings import read_settings
 from stoatgw.decisions.interface import (
-    Begun,
+    AttemptEstablished,
+    AttemptOutcome,
+    AttemptStatus,
     Cancel,
+    CheckHealth,
     CloseIdle,
+    EndpointUpdate,
     Fail,
-    FetchList,
+    FetchEndpoints,
+    Gossip,
     Lifecycle,
-    ListUpdate,
     Log,
-    Move,
-    Note,
-    NoteKind,
-    Outcome,
-    Probe,
-    Refuse,
+    Migrate,
+    Reject,
     Request,
     Send,
+    SessionMetric,
+    SessionMetricKind,
     SetTimer,
     SettingsError,
-    Status,
     Subscribe,
-    Tell,
 )
-from stoatgw.simwire.codec import Decoder, Delivery, Start, WireError, encode
-from stoatgw.simwire.host import serve
+from stoatgw.simulator_wire.codec import Decoder, Delivery, Start, WireError, encode
+from stoatgw.simulator_wire.host import serve
 
 PAIRS = {
     "balancers": "3",
@@ -67,26 +67,28 @@
 def test_request_line() -> None:
     line = "ACCEPT\t3\t1f7a7d575d3a91c4\t12000\t1\t0\t240000\t4050608788307276\t0\t4569004829183723"
     assert decode(line) == Request(
-        request="1f7a7d575d3a91c4",
-        profile=0,
-        patience_left_us=240_000,
+        request_id="1f7a7d575d3a91c4",
+        request_class=0,
+        time_left_us=240_000,
         tenant=0,
-        key=4569004829183723,
+        idempotency_key=4569004829183723,
         group=4050608788307276,
         hint_us=12_000,
         hint_valid=True,
     )
     bare = decode("ACCEPT\t3\t1f7a7d575d3a91c4\t-\t26\t-\t240000\t-\t1\t-")
     assert isinstance(bare, Request)
-    assert (bare.hint_us, bare.key, bare.tenant, bare.profile) == (None, None, 0, 1)
-    assert bare.client_retry and bare.mid_flow and bare.returned and not bare.hint_valid
+    assert (bare.hint_us, bare.idempotency_key, bare.tenant, bare.request_class) == (None, None, 0, 1)
+    assert bare.is_client_retry and bare.is_mid_flow and bare.is_returning and not bare.hint_valid
 
 
 def test_event_lines() -> None:
-    assert decode("BEGUN\t3\taa\t9250\t0\tserver.x") == Begun("aa", 0, "server.x", 9250)
-    assert decode("CHANGE\t3\taa\t0\tserver.x\t1\t0.5") == Note("aa", 0, "server.x", NoteKind.LOAD, 0.5)
+    assert decode("BEGUN\t3\taa\t9250\t0\tserver.x") == AttemptEstablished("aa", 0, "server.x", 9250)
+    assert decode("CHANGE\t3\taa\t0\tserver.x\t1\t0.5") == SessionMetric(
+        "aa", 0, "server.x", SessionMetricKind.LOAD, 0.5
+    )
     ended = decode("COMPLETED\t3\taa\t0\tserver.x\tdelivered\t18500\t1\t0.5,-,2")
-    assert ended == Outcome("aa", 0, "server.x", Status.DELIVERED, 18500, True, (0.5, None, 2.0))
+    assert ended == AttemptOutcome("aa", 0, "server.x", AttemptStatus.DELIVERED, 18500, True, (0.5, None, 2.0))
     existing = "EXISTING\t3\t11\t0\t0\t45\t240000\t12000\t40\t1\tserver.x"
     assert getattr(decode(existing), "server", None) == "server.x"
 
@@ -99,11 +101,11 @@
     updates = []
     for number, line in enumerate(lines, 1):
         message = decoder.message(line, number)
-        if isinstance(message, Delivery) and isinstance(message.event, ListUpdate):
-            updates.append(message.event.entries)
+        if isinstance(message, Delivery) and isinstance(message.event, EndpointUpdate):
+            updates.append(message.event.endpoints)
     assert [len(entries) for entries in updates] == [1, 1, 0]
-    assert updates[0][0].last_start_us == 61
-    assert updates[1][0].lifecycle is Lifecycle.FADING and updates[1][0].weight == 1.0
+    assert updates[0][0].started_us == 61
+    assert updates[1][0].lifecycle is Lifecycle.DRAINING and updates[1][0].weight == 1.0
 
 
 def test_settings() -> None:
@@ -140,16 +142,16 @@
 def test_actions() -> None:
     assert encode(3, Send("aa", "server.x", 99)) == "TRANSMIT\t3\taa\tserver.x\t99"
     assert encode(3, Cancel("aa", 1)) == "CANCEL\t3\taa\t1"
-    assert encode(3, Refuse("aa", 250_000)) == "SHED\t3\taa\t250000"
+    assert encode(3, Reject("aa", 250_000)) == "SHED\t3\taa\t250000"
     assert encode(3, Fail("aa")) == "LOSE\t3\taa"
-    assert encode(3, Move("aa")) == "EVICT\t3\taa"
+    assert encode(3, Migrate("aa")) == "EVICT\t3\taa"
     assert encode(3, Subscribe(True)) == "KEEP_INFORMED\t3\t1"
-    assert encode(3, FetchList()) == "GET_LIST\t3"
+    assert encode(3, FetchEndpoints()) == "GET_LIST\t3"
     assert encode(3, SetTimer(8, 77)) == "WAKE_ME\t3\t8\t77"
-    assert encode(3, Probe("server.x")) == "HEALTH_CHECK\t3\tserver.x"
+    assert encode(3, CheckHealth("server.x")) == "HEALTH_CHECK\t3\tserver.x"
     assert encode(3, CloseIdle("server.x")) == "CLOSE_IDLE\t3\tserver.x"
-    assert encode(3, Tell(None, b"hi")) == "TELL\t3\t*\t6869"
-    assert encode(3, Tell(2, b"")) == "TELL\t3\t2\t-"
+    assert encode(3, Gossip(None, b"hi")) == "TELL\t3\t*\t6869"
+    assert encode(3, Gossip(2, b"")) == "TELL\t3\t2\t-"
     assert encode(3, Log("two\tservers\nknown")) == "NOTE_DOWN\t3\ttwo servers known"
 
 
@@ -187,7 +189,7 @@
 
 def test_the_adapter_process_complains_on_standard_error_only() -> None:
     done = subprocess.run(
-        [sys.executable, "-m", "stoatgw.simwire"],
+        [sys.executable, "-m", "stoatgw.simulator_wire"],
         input="TURN\t1\nGO\nTURN\t2\nHANGUP\t0\n",
         capture_output=True,
         text=True,
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -11,7 +11,7 @@
 from collections.abc import Coroutine
 from typing import Any, TypeVar
 
-from stoatgw.owner.clock import Clock
+from stoatgw.clock import Clock
 
 T = TypeVar("T")
 SETTLE_S = 0.0005  # real time in which what was sent on loopback surely shows
