--- a/stoatgw/backends/health_check.py
+++ b/stoatgw/backends/health_check.py
@@ -93,7 +93,7 @@
         finally:
             if sock is not None:
                 calls.close(sock)
-            self._counters.add(f"probes_{status.value}")
+            self._counters.add(f"health_checks_{status.value}")
             self._owner.post(HealthCheckCompleted(backend.name, status, self._clock.now_us() - began_us, row))
 
     def _keep(self, name: str, sock: socket.socket) -> None:
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -90,7 +90,7 @@
         context = self._context
         context.counters.add("connections")
         if not context.descriptor_limiter.admits():
-            context.counters.add("connections_over_limit")
+            context.counters.add("connections_rejected")
             answered = context.dismiss(sock, busy(0))
         else:
             answered = ClientSession(sock, context).run()
@@ -107,8 +107,8 @@
             try:
                 self._look(turn % round(1 / WATCH_S) == 0)
             except Exception as fault:  # a fault here must not end the proxy
-                self._context.counters.add("watch_over_sessions_faults")
-                self._context.log.event("watch_over_sessions_fault", error=repr(fault))
+                self._context.counters.add("session_monitor_failures")
+                self._context.log.event("session_monitor_failed", error=repr(fault))
 
     def _look(self, tell: bool) -> None:
         now_us = self._context.clock.now_us()
@@ -128,7 +128,7 @@
             late = delay_ms > self._tell_ms
             if late:
                 told.add(server)
-                self._context.counters.add("delays_told")
+                self._context.counters.add("latencies_reported")
             if late or server in self._told:
                 self._context.controller.post(
                     SessionMetricObserved(standing[0].state, SessionMetricKind.DELAY, delay_ms)
--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -70,7 +70,7 @@
                 if found is not None:
                     return found
                 if self._over and self._began:
-                    self._context.counters.add("clients_too_slow")
+                    self._context.counters.add("clients_timed_out")
                     return MalformedRequest("no request in time")
                 if self._over or data == b"":
                     return None
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -52,13 +52,13 @@
     """What ended a session."""
 
     ANSWERED = "answered"
-    CLIENT_LEFT = "client_left"
-    UNRULY = "unruly"  # it did not wait for UP
-    BACKEND_ENDED = "backend_ended"
-    MOVED = "moved"
+    CLIENT_DISCONNECTED = "client_disconnected"
+    PROTOCOL_VIOLATED = "protocol_violated"  # it did not wait for UP
+    SERVER_ENDED = "server_ended"
+    MIGRATED = "migrated"
 
 
-GONE = (EndReason.CLIENT_LEFT, EndReason.UNRULY)  # the decisions owe nothing any more
+GONE = (EndReason.CLIENT_DISCONNECTED, EndReason.PROTOCOL_VIOLATED)  # the decisions owe nothing any more
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,17 +107,17 @@
             self._class = opened.class_name
             taken = room.take()
             if not taken:
-                counters.add("requests_over_limit")
+                counters.add("requests_over_descriptor_limit")
                 self._count(RequestOutcome.OVERLOAD)
                 await calls.close_after(self._sock, busy(0), ANSWERED_LINGER_S)
                 return
             end = await self._serve(opened)
             counters.add(f"sessions_{end.cause.value}")
-            if end.reset or end.cause is EndReason.CLIENT_LEFT:  # nobody is there to read a last line
+            if end.reset or end.cause is EndReason.CLIENT_DISCONNECTED:  # nobody is there to read a last line
                 calls.close(self._sock, reset=end.reset)
                 ours = None
             else:
-                answered = end.cause in (EndReason.ANSWERED, EndReason.UNRULY)
+                answered = end.cause in (EndReason.ANSWERED, EndReason.PROTOCOL_VIOLATED)
                 ours = calls.close_after(self._sock, end.line, ANSWERED_LINGER_S if answered else LINGER_S)
             parted = self._parting.part(LINGER_S) if self._parting is not None else None
             await asyncio.gather(*(each for each in (ours, parted) if each is not None))
@@ -125,9 +125,9 @@
             counters.add("sessions_broken")
             calls.close(self._sock)
         except Exception as fault:
-            counters.add("session_faults")
+            counters.add("sessions_crashed")
             self._count(RequestOutcome.ERROR)
-            self._context.log.event("session_fault", error=repr(fault))
+            self._context.log.event("session_crashed", error=repr(fault))
             calls.close(self._sock)
         finally:
             calls.close(self._sock)
@@ -146,7 +146,7 @@
         reader = loop.create_task(self._read_client())
         self._context.metrics.open_requests += 1
         if opened.restore_at is not None:
-            self._context.counters.add("requests_standing")
+            self._context.counters.add("requests_restored")
             self._attempting = loop.create_task(self._restore(req, opened, opened.restore_at))
         else:
             self._context.counters.add("requests")
@@ -232,10 +232,10 @@
         """Send the client away, between two lines."""
         self._move_asked = True
         if self._between_lines:
-            self._finish(SessionEnd(EndReason.MOVED, MOVE + b"\r\n"))
+            self._finish(SessionEnd(EndReason.MIGRATED, MOVE + b"\r\n"))
         else:
             # Guards against a backend that stops in the middle of a line.
-            asyncio.get_running_loop().call_later(BOUNDARY_S, self._finish, SessionEnd(EndReason.MOVED))
+            asyncio.get_running_loop().call_later(BOUNDARY_S, self._finish, SessionEnd(EndReason.MIGRATED))
 
     def give_up(self) -> None:
         """The backend answers nothing any more: its client is better off elsewhere."""
@@ -276,13 +276,13 @@
             stage = attempt.stage if attempt else AttemptStage.CONNECTING
             ran = stage in (AttemptStage.SENT, AttemptStage.ESTABLISHED)
             end = AttemptEnd(AttemptStatus.DROPPED if ran else AttemptStatus.UNUSED, stage, repr(fault))
-            context.counters.add("fetch_faults")
-            context.log.event("fetch_fault", error=repr(fault))
+            context.counters.add("attempts_crashed")
+            context.log.event("attempt_crashed", error=repr(fault))
         finally:
             self._close(req, attempt)
             if end.status not in (AttemptStatus.DELIVERED, AttemptStatus.REVOKED):
                 context.log.event(
-                    "fetch_ended",
+                    "attempt_failed",
                     id=req.request.request_id,
                     backend=server,
                     status=end.status.value,
@@ -291,7 +291,7 @@
                 )
             context.controller.post(AttemptEnded(req, number, end))
             if end.stage is AttemptStage.ESTABLISHED:
-                self._finish(SessionEnd(EndReason.BACKEND_ENDED, reset=attempt is not None and attempt.reset))
+                self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=attempt is not None and attempt.reset))
 
     async def _restore(self, req: RequestState, opened: SessionRequest, server: str) -> None:
         """A connection that stood before: back to its backend, also where the list or the backend is late."""
@@ -319,17 +319,17 @@
             end = AttemptEnd(self._given_up, AttemptStage.ESTABLISHED, "given up")
             raise
         except Exception as fault:
-            context.counters.add("fetch_faults")
-            context.log.event("fetch_fault", error=repr(fault))
+            context.counters.add("attempts_crashed")
+            context.log.event("attempt_crashed", error=repr(fault))
         finally:
             self._close(req, attempt)
             if stood:
                 owner_end = end or AttemptEnd(AttemptStatus.DROPPED, AttemptStage.ESTABLISHED, "fault")
                 context.controller.post(AttemptEnded(req, 0, owner_end))
-                self._finish(SessionEnd(EndReason.BACKEND_ENDED, reset=attempt is not None and attempt.reset))
+                self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=attempt is not None and attempt.reset))
             else:
-                context.counters.add("standing_lost")
-                context.log.event("standing_lost", id=opened.request_id, why=end.reason if end else "fault")
+                context.counters.add("sessions_not_restored")
+                context.log.event("session_restore_failed", id=opened.request_id, why=end.reason if end else "fault")
                 loop.call_soon(self.fail)
 
     def _make_attempt(self, backend: Backend, dial_us: int) -> Attempt:
@@ -343,7 +343,7 @@
     async def _stand(self, req: RequestState, attempt: Attempt, server: str) -> AttemptEnd:
         """Up: pass UP on, then all lines both ways until the backend ends."""
         context = self._context
-        context.counters.add("answers_up")
+        context.counters.add("requests_established")
         context.established_sessions[req.request.request_id] = EstablishedSession(
             req, server, self._messages, self.give_up
         )
@@ -364,7 +364,9 @@
         if attempt is None:
             return
         end = self._end.result() if self._end.done() else None
-        politely = end is not None and end.cause in (EndReason.CLIENT_LEFT, EndReason.MOVED) and not end.reset
+        politely = (
+            end is not None and end.cause in (EndReason.CLIENT_DISCONNECTED, EndReason.MIGRATED) and not end.reset
+        )
         if attempt.stage is AttemptStage.ESTABLISHED and politely:
             # Closed over unread bytes, it would be reset, and the client's last lines might go with that.
             attempt.half_close()
@@ -374,7 +376,7 @@
 
     def lines_received(self, lines: list[bytes]) -> None:
         now_us, context = self._context.clock.now_us(), self._context
-        context.counters.add("lines_from_backends", len(lines))
+        context.counters.add("lines_from_servers", len(lines))
         for line in lines:
             reply = parse_reply(line)
             if reply.keyword is Keyword.LOAD and self._req is not None:
@@ -389,7 +391,7 @@
         await asyncio.get_running_loop().sock_sendall(self._sock, data)
         self._between_lines = data.endswith(b"\n")
         if self._move_asked and self._between_lines:
-            self._finish(SessionEnd(EndReason.MOVED, MOVE + b"\r\n"))
+            self._finish(SessionEnd(EndReason.MIGRATED, MOVE + b"\r\n"))
 
     # The client's side.
 
@@ -406,7 +408,7 @@
                     # Guards against commands sent before the answer being served as though they were a
                     # session: a client waits for UP.
                     self._count(RequestOutcome.ERROR)
-                    self._finish(SessionEnd(EndReason.UNRULY, error("more came before UP")))
+                    self._finish(SessionEnd(EndReason.PROTOCOL_VIOLATED, error("more came before UP")))
                     return
                 if self._attempt is None:
                     self._early += data
@@ -419,11 +421,11 @@
                 except OSError:
                     # The backend's last lines may still be on their way to the client.
                     await asyncio.sleep(BOUNDARY_S)
-                    self._finish(SessionEnd(EndReason.BACKEND_ENDED, reset=True))
+                    self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=True))
                     return
-            self._finish(SessionEnd(EndReason.CLIENT_LEFT))
+            self._finish(SessionEnd(EndReason.CLIENT_DISCONNECTED))
         except OSError as fault:
-            self._finish(SessionEnd(EndReason.CLIENT_LEFT, reset=isinstance(fault, ConnectionResetError)))
+            self._finish(SessionEnd(EndReason.CLIENT_DISCONNECTED, reset=isinstance(fault, ConnectionResetError)))
 
 
 async def _stop(task: asyncio.Task[None]) -> None:
--- a/stoatgw/controller/controller.py
+++ b/stoatgw/controller/controller.py
@@ -178,7 +178,7 @@
                     self._tell(TimerExpired(token))
             case RequestTimedOut(req):
                 if not req.is_answered:
-                    self._counters.add("answers_overdue")
+                    self._counters.add("requests_timed_out")
                     self._tell(interface.ClientDisconnected(req.request.request_id))
                     self._end_waiting(req)
             case BeginDrain():
@@ -209,7 +209,7 @@
         asyncio.get_running_loop().call_later(self._mover.interval_us / 1e6, self.post, RebalanceDue())
         if isinstance(self._balancer, Balancer):
             for request in self._mover.plan(self._balancer.estimates(self._now_us), self._now_us):
-                self._counters.add("moves_planned")
+                self._counters.add("migrations_planned")
                 self._perform(self._balancer.migrate(request))
 
     def _tell(self, event: Event) -> None:
@@ -231,7 +231,7 @@
         req.active_attempt = None
         if req.first_run_us is None and not end.status.never_ran:
             req.first_run_us = req.sent_us
-        self._counters.add(f"fetches_{end.status.value}")
+        self._counters.add(f"attempts_{end.status.value}")
         final = req.is_answered or req.is_established
         spent_us = self._now_us - req.sent_us
         outcome = AttemptOutcome(
@@ -269,7 +269,7 @@
                 case Migrate(request):
                     req = self._reqs.get(request)
                     if req is not None and req.is_established:
-                        self._counters.add("moves")
+                        self._counters.add("migrations")
                         req.handler.migrate()
                 case SetTimer(at_us, token):
                     self._timer(token, at_us)
@@ -283,7 +283,7 @@
                     if self._fleet is not None:
                         self._fleet.fetch_endpoints()
                 case Log(message):
-                    self._log.event("decision", text=message)
+                    self._log.event("decision_logged", text=message)
                 case _:  # Subscribe: the watch always stands; Tell: proxies share nothing
                     pass
 
@@ -302,7 +302,7 @@
             self._tell(AttemptOutcome(request, attempt, server, AttemptStatus.UNUSED, 0, req.is_answered))
             return
         req.attempts, req.active_attempt, req.server, req.sent_us = attempt + 1, attempt, server, self._now_us
-        self._counters.add("fetches")
+        self._counters.add("attempts")
         profile = self._settings.profiles[req.request.request_class]
         if req.first_run_us is not None and profile.idempotency is Idempotency.DEDUP:
             req.retry_before_us = max(1, req.first_run_us + profile.key_ttl_us - REPEAT_GUARD_US)
@@ -310,13 +310,13 @@
 
     def _refuse(self, req: RequestState, retry_after_us: int) -> None:
         req.mark_answered()
-        self._counters.add("answers_busy")
+        self._counters.add("requests_rejected")
         req.handler.reject(retry_after_us)
         self._forget(req)
 
     def _fail(self, req: RequestState) -> None:
         req.mark_answered()
-        self._counters.add("answers_failed")
+        self._counters.add("requests_failed")
         req.handler.fail()
         self._forget(req)
 
@@ -402,8 +402,8 @@
 
     def _recover(self, error: Exception) -> None:
         """A fault of the decisions: answer whoever waits without an attempt, begin again with what stands."""
-        self._counters.add("decision_faults")
-        self._log.event("decision_fault", error=repr(error), trace=traceback.format_exc(limit=4))
+        self._counters.add("decision_crashes")
+        self._log.event("decision_crashed", error=repr(error), trace=traceback.format_exc(limit=4))
         self._seed += 1
         self._balancer = self._make(self._settings, self._seed)
         for req in [req for req in self._reqs.values() if not req.is_answered]:
--- a/stoatgw/discovery/client.py
+++ b/stoatgw/discovery/client.py
@@ -97,7 +97,7 @@
         """Watch at another address from now on, after the version held; the list is kept meanwhile."""
         if address == self._address:
             return
-        self._log.event("watch_moved", **{"from": str(self._address), "to": str(address)})
+        self._log.event("discovery_address_changed", **{"from": str(self._address), "to": str(address)})
         self._address = address
         self._keep_only(None)
         self._call_in(0.0)
@@ -137,8 +137,8 @@
             call.close()
             self._calls.remove(call)
         if self._calls:
-            self._counters.add("watch_quiet")
-            self._log.event("watch_quiet", calls=len(self._calls))
+            self._counters.add("watches_stalled")
+            self._log.event("watch_stalled", calls=len(self._calls))
         call = WatchCall()
         self._calls.append(call)
         call.task = asyncio.get_running_loop().create_task(self._run_call(call))
@@ -151,14 +151,14 @@
             await self._watch(call)
         except HttpBusyError as error:
             busy = True
-            self._counters.add("watch_busy")
-            self._log.event("watch_lost", error=repr(error))
+            self._counters.add("watches_rejected")
+            self._log.event("watch_disconnected", error=repr(error))
         except (OSError, TimeoutError, HttpError) as error:
-            self._counters.add("watch_failures")
-            self._log.event("watch_lost", error=repr(error))
+            self._counters.add("watches_disconnected")
+            self._log.event("watch_disconnected", error=repr(error))
         except Exception as error:
-            self._counters.add("watch_faults")
-            self._log.event("watch_fault", error=repr(error))
+            self._counters.add("watches_crashed")
+            self._log.event("watch_crashed", error=repr(error))
         if call in self._calls:
             self._calls.remove(call)
             if call.heard:
@@ -215,12 +215,12 @@
         return True
 
     def _bad(self, why: str) -> bool:
-        self._counters.add("list_objects_bad")
-        self._log.event("list_object_bad", why=why[:200])
+        self._counters.add("endpoint_list_pages_rejected")
+        self._log.event("endpoint_list_rejected", why=why[:200])
         return False
 
     def _take(self, page: EndpointListPage, kind: EndpointUpdateKind) -> None:
-        self._counters.add("list_objects")
+        self._counters.add("endpoint_list_pages")
         whole = kind is not EndpointUpdateKind.DELTA
         if whole:
             self._rows = {}
@@ -232,7 +232,7 @@
         if kind is not EndpointUpdateKind.CACHED and self.first_update_us is None:
             self.first_update_us = self._clock.now_us()
         if page.rows or whole:
-            self._log.event("list", kind=kind.value, version=page.version, entries=len(page.rows))
+            self._log.event("endpoint_list_updated", kind=kind.value, version=page.version, entries=len(page.rows))
             self._pass_on(page.rows, kind)
 
     def _pass_on(self, rows: Sequence[Row], kind: EndpointUpdateKind) -> None:
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -34,12 +34,12 @@
 KILL_S = 3.7  # after SIGTERM, at the soonest where the longest deadline is 3 s or more
 NEWCOMERS_S = (0.2, 0.4)
 FAULTS = (
-    "decision_fault",
+    "decision_crashed",
     "recovery_failed",
-    "session_fault",
-    "fetch_fault",
+    "session_crashed",
+    "attempt_crashed",
     "task_ended",
-    "watch_over_sessions_fault",
+    "session_monitor_failed",
     "unreadable",
 )
 
@@ -195,8 +195,8 @@
             for event in proxy.events():
                 if event.get("event") in FAULTS:
                     realm.log(EventKind.NOTE, proxy.name, detail=str(event)[:300])
-                if event.get("event") == "stopped":
-                    realm.log(EventKind.HELD, proxy.name, number=int(event.get("reqs", 0)))
+                if event.get("event") == "proxy_stopped":
+                    realm.log(EventKind.HELD, proxy.name, number=int(event.get("open_requests", 0)))
 
     # What the stand-ins ask and tell.
 
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -76,7 +76,7 @@
         self._node, self._realm = name, realm
 
     def event(self, event: str, **fields: object) -> None:
-        if event in ("decision_fault", "recovery_failed"):
+        if event in ("decision_crashed", "recovery_failed"):
             self._realm.log(EventKind.NOTE, self._node, detail=f"{event}: {str(fields.get('error'))[:200]}")
 
 
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -30,16 +30,16 @@
     def start(self) -> None:
         """Be seen, and take clients unless another process still does."""
         if self._peers is None:
-            self._log.event("peers_unseen", error="TMPDIR is not set")
+            self._log.event("siblings_read_failed", error="TMPDIR is not set")
         else:
             try:
                 self._peers.join(self._own)
             except OSError as fault:
-                self._log.event("peers_unseen", error=str(fault))
+                self._log.event("siblings_read_failed", error=str(fault))
                 self._peers = None
         self._look()
         if any(peer.is_accepting for peer in self._others):
-            self._log.event("beside", others=len(self._others))
+            self._log.event("sibling_detected", others=len(self._others))
             self._listener.accept(False)
         else:
             self._take_clients()
@@ -60,9 +60,9 @@
         if self._peers is not None:
             try:
                 self._peers.publish(self._own)
-                self._told.pop("peers_untold", None)
+                self._told.pop("sibling_publish_failed", None)
             except OSError as fault:
-                self._trouble("peers_untold", fault)
+                self._trouble("sibling_publish_failed", fault)
 
     def _trouble(self, event: str, fault: OSError) -> None:
         if self._told.get(event) != str(fault):  # it is met ten times a second
@@ -74,9 +74,9 @@
             return
         try:
             self._others = self._peers.others()
-            self._told.pop("peers_unseen", None)
+            self._told.pop("siblings_read_failed", None)
         except OSError as fault:
-            self._trouble("peers_unseen", fault)
+            self._trouble("siblings_read_failed", fault)
             self._others = []
         self._context.descriptor_limiter.elsewhere = sum(peer.descriptors for peer in self._others)
 
@@ -101,7 +101,7 @@
         now_us, known = self._context.clock.now_us(), self._context.backends.has_endpoints
         alone = not any(peer.is_accepting for peer in self._others)  # whoever served has gone: nobody does now
         if (alone and known) or may_begin(self._own.since_us, self._director.first_update_us, known, now_us):
-            self._log.event("takes_over", others=len(self._others))
+            self._log.event("accepting_taken_over", others=len(self._others))
             self._take_clients()
 
     def _yield_or_accept(self) -> None:
@@ -109,5 +109,5 @@
         accepts = self._context.lifecycle.is_serving and not newer(self._own, self._others)
         if accepts != self.is_accepting and self._context.lifecycle.is_serving:
             self.is_accepting = accepts
-            self._log.event("accepts" if accepts else "yields")
+            self._log.event("accepting_resumed" if accepts else "accepting_yielded")
             self._listener.accept(accepts)
--- a/stoatgw/maintenance/controller.py
+++ b/stoatgw/maintenance/controller.py
@@ -133,9 +133,9 @@
             token = self._duty.token()
             if token and token != before:
                 self._steward, self._held_since_us = RolloutPlanner(self._plan), self._now_us()
-                self._log.event("maintenance_holds", token=token, identity=self._identity)
+                self._log.event("maintenance_leadership_acquired", token=token, identity=self._identity)
             elif before and not token:
-                self._log.event("maintenance_lost", token=before)
+                self._log.event("maintenance_leadership_lost", token=before)
         if self._duty.token():
             await self._lead(look)
 
--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -37,7 +37,7 @@
 
     def cancel_drain(self) -> None:
         if self._context.lifecycle.resume_serving():
-            self._log.event("activate")
+            self._log.event("drain_cancelled")
             self._owner.post(CancelDrain())
 
     def connections_to(self, server: str) -> int:
--- a/stoatgw/management/listener.py
+++ b/stoatgw/management/listener.py
@@ -65,7 +65,7 @@
         except OSError:
             pass  # the caller has gone
         except Exception as fault:  # a fault of one call must not end the address
-            self._log.event("management_fault", error=repr(fault))
+            self._log.event("management_call_failed", error=repr(fault))
         finally:
             calls.close(sock)
 
@@ -81,7 +81,7 @@
                     if call is not None:
                         break
         except TimeoutError:
-            self._counters.add("management_callers_slow")
+            self._counters.add("management_calls_timed_out")
             return HttpResponse(408, "no: no whole call in time\n")
         order = call if isinstance(call, HttpResponse) else parse_operation(call)
         if isinstance(order, HttpResponse):
@@ -89,7 +89,7 @@
         try:
             answer = self._desk.execute(order)
         except Exception as fault:  # never a yes before it binds
-            self._log.event("management_fault", deed=order.operation.value, error=repr(fault))
+            self._log.event("management_call_failed", deed=order.operation.value, error=repr(fault))
             return HttpResponse(500, "no: a fault, see the log\n")
         self._counters.add("management_calls")
         return answer
--- a/stoatgw/management/operations.py
+++ b/stoatgw/management/operations.py
@@ -21,7 +21,7 @@
 def drain(context: ProxyContext, owner: Controller, log: EventLog) -> None:
     """Send all clients away; nothing if that is under way."""
     if context.lifecycle.begin_drain():
-        log.event("drain", open=len(context.established_sessions))
+        log.event("drain_started", open_connections=len(context.established_sessions))
         owner.post(BeginDrain(DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US))
 
 
@@ -95,6 +95,6 @@
         if not self._context.lifecycle.resume_serving():
             return HttpResponse(409, "no: this process is stopping\n")
         if not was:
-            self._log.event("activate")
+            self._log.event("drain_cancelled")
             self._owner.post(CancelDrain())
         return HttpResponse(200, "yes: serving\n")
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -76,18 +76,20 @@
 
     def __call__(self) -> None:
         """A file that cannot be used is logged and changes nothing."""
-        self._counters.add("reloads")
+        self._counters.add("configuration_reloads")
         try:
             fresh = load(self._path)
         except Exception as fault:  # guards against a half-written file: what runs stays as it is
-            self._counters.add("reloads_bad")
-            self._log.event("reload_bad", error=str(fault)[:200])
+            self._counters.add("configuration_rejections")
+            self._log.event("configuration_rejected", error=str(fault)[:200])
             return
         # The seed and the list are new with each file; what else differs is told, not taken.
         same = replace(
             fresh, discovery=self._deployment.discovery, seed=self._deployment.seed, known=self._deployment.known
         )
-        self._log.event("reload", discovery=str(fresh.discovery), restart_needed=same != self._deployment)
+        self._log.event(
+            "configuration_reloaded", discovery=str(fresh.discovery), restart_needed=same != self._deployment
+        )
         self._director.change_address(fresh.discovery)
 
 
@@ -154,7 +156,10 @@
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     loop.add_signal_handler(signal.SIGINT, stopped.set)
     loop.add_signal_handler(
-        signal.SIGUSR1, lambda: log.event("counters", open=listener.open, reqs=owner.open_requests, **counters.all())
+        signal.SIGUSR1,
+        lambda: log.event(
+            "counters_reported", open_connections=listener.open, open_requests=owner.open_requests, **counters.all()
+        ),
     )
     keeper = agent = None
     if deployment.management is not None:
@@ -209,7 +214,7 @@
         if task.done():  # none of them ends by itself
             log.event("task_ended", error=repr(task.exception()))
     handed = beside is not None and beside.is_superseded()
-    log.event("draining", open=listener.open, handed_over=handed)
+    log.event("shutdown_started", open_connections=listener.open, handed_over=handed)
     context.lifecycle.begin_shutdown(handed_over=handed)
     if handed:
         # Nobody comes here any more: the other process answers them. Those that came are served, then moved.
@@ -229,7 +234,7 @@
         leaving.cancel()
     if beside is not None:
         beside.stop()
-    log.event("stopped", open=listener.open, reqs=owner.open_requests, **counters.all())
+    log.event("proxy_stopped", open_connections=listener.open, open_requests=owner.open_requests, **counters.all())
 
 
 async def every(pause_s: float, look: Callable[[], None], log: EventLog) -> None:
@@ -242,7 +247,7 @@
         except Exception as fault:
             if told != repr(fault):
                 told = repr(fault)
-                log.event("look_fault", error=told)
+                log.event("periodic_task_failed", error=told)
 
 
 def bind(listener: Listener, listen: Address) -> None:
--- a/stoatgw/shared_health_checks/checker.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -91,7 +91,7 @@
         shares = self.is_sharing
         if shares != self._shares:
             self._shares = shares
-            self._log.event("sharing_begins" if shares else "sharing_ends")
+            self._log.event("health_check_sharing_started" if shares else "health_check_sharing_stopped")
         hears = self._now_us() - self._heard_us < 3e6 * self._pause_s
         for server in self._board.due(self._now_us(), hears=hears) if shares else ():
             self._probe(server)
@@ -113,7 +113,7 @@
             except Exception as fault:  # a fault of one look must not end the proxy
                 if told != repr(fault):
                     told = repr(fault)
-                    self._log.event("sharing_fault", error=told[:200])
+                    self._log.event("health_check_sharing_failed", error=told[:200])
             await asyncio.sleep(self._pause_s * self._draws.uniform(0.8, 1.2))
 
     async def look(self) -> None:
--- a/stoatgw/suspension/applier.py
+++ b/stoatgw/suspension/applier.py
@@ -22,9 +22,9 @@
         """What a source has out from now on; who stands on one newly out is moved within `over_us`."""
         out, back = self.overlay.replace(bans, self._clock.now_us(), source)
         for name in out:
-            self._log.event("suspended", backend=name)
+            self._log.event("server_suspended", backend=name)
             self._owner.post(EvacuateServer(name, True, over_us))
         for name in back:
-            self._log.event("resumed", backend=name)
+            self._log.event("server_resumed", backend=name)
             self._owner.post(EvacuateServer(name, False))
         self._director.republish([*out, *back])
--- a/stoatgw/suspension/service.py
+++ b/stoatgw/suspension/service.py
@@ -26,7 +26,7 @@
     def start(self) -> None:
         """What was out before this process began is out, before it hears of any list."""
         if self._store is None:
-            self._log.event("suspended_not_kept", error="TMPDIR is not set")
+            self._log.event("suspension_write_failed", error="TMPDIR is not set")
         self.poll()
 
     def has_server(self, name: str) -> bool:
@@ -43,7 +43,7 @@
                 bans = self._store.change(name, bans[name])
             except SuspensionStoreError as fault:
                 why = str(fault)
-                self._log.event("suspended_not_kept", error=why)
+                self._log.event("suspension_write_failed", error=why)
         self._apply(bans)
         return why
 
@@ -54,7 +54,7 @@
             try:
                 bans = self._store.change(name, None)
             except SuspensionStoreError as fault:
-                self._log.event("suspended_not_kept", error=str(fault))
+                self._log.event("suspension_write_failed", error=str(fault))
                 return str(fault)
         self._apply(bans)
         return "the maintenance has it out" if name in self._overlay.suspensions else ""
@@ -72,6 +72,6 @@
         try:
             bans = self._store.load()
         except SuspensionStoreError as fault:  # what is out here stays out
-            self._log.event("suspended_unread", error=str(fault))
+            self._log.event("suspension_read_failed", error=str(fault))
             return
         self._apply(bans)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -496,7 +496,7 @@
         assert [each.state for each in last.steps.values()] == [StepState.DONE] * 3
         assert up.worked == Counter(plan.machines) and up.tally.lost == 0
         assert len(up.proxies[0].told("maintenance_not_kept")) == 1  # a lasting trouble is told once
-        assert up.proxies[1].told("drain") and len(up.proxies[1].told("stopped")) == 1
+        assert up.proxies[1].told("drain_started") and len(up.proxies[1].told("proxy_stopped")) == 1
 
     play(tmp_path, plan, test, full_disks=(0,))
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -140,7 +140,7 @@
         await stand.take(RequestReceived(req))
         ended = AttemptEnded(req, 0, end(AttemptStatus.SHED, AttemptStage.SENT))
         await stand.take(ended, ended)
-        assert len(door.told) == 2 and stand.counters["fetches_shed"] == 1
+        assert len(door.told) == 2 and stand.counters["attempts_shed"] == 1
 
     drive(play)
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -52,13 +52,13 @@
     async with asyncio.timeout(20):
         await events(program.stdout, "ready")
         assert b"after" not in await asked_first.get()
-        await events(program.stdout, "list")
+        await events(program.stdout, "endpoint_list_updated")
         path.write_text("{half a fi")
         program.send_signal(signal.SIGHUP)
-        await events(program.stdout, "reload_bad")
+        await events(program.stdout, "configuration_rejected")
         path.write_text(json.dumps(CONFIG | {"listen": listen, "discovery": second}))
         program.send_signal(signal.SIGHUP)
-        assert (await events(program.stdout, "reload"))["restart_needed"] is False
+        assert (await events(program.stdout, "configuration_reloaded"))["restart_needed"] is False
         assert b"after=41 " in await asked_second.get()
         assert asked_first.empty()
         program.send_signal(signal.SIGTERM)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -80,10 +80,10 @@
         assert backend is not None
         for count in (1, 2):
             self.prober.check(backend)
-            while sum(n for name, n in self.counters.all().items() if name.startswith("probes_")) < count:
+            while sum(n for name, n in self.counters.all().items() if name.startswith("health_checks_")) < count:
                 await asyncio.sleep(0.01)
         self.prober.close("s")
-        return self.counters["probes_delivered"]
+        return self.counters["health_checks_delivered"]
 
     async def settle(self) -> None:
         """Wait until nothing is left behind."""
@@ -148,7 +148,7 @@
         assert await reader.read() == long + b"BYE\r\n"
         writer.close()
         await proxy.settle()
-        assert proxy.counters["fetches_delivered"] == 1
+        assert proxy.counters["attempts_delivered"] == 1
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"UP 77\r\n")
@@ -169,7 +169,7 @@
         with pytest.raises(ConnectionResetError):
             await reader.read()
         await proxy.settle()
-        assert proxy.counters["fetches_dropped"] == 1
+        assert proxy.counters["attempts_dropped"] == 1
 
     play(echo, test)
 
@@ -428,10 +428,10 @@
         delattr(proxy.owner, "post")
         for message in held:
             proxy.owner.post(message)
-        while not proxy.counters["fetches"]:
+        while not proxy.counters["attempts"]:
             await asyncio.sleep(0.01)
         await proxy.settle()
-        assert proxy.counters["fetches"] == 1 and proxy.asked == []
+        assert proxy.counters["attempts"] == 1 and proxy.asked == []
 
     play(echo, test)
 
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -132,19 +132,19 @@
     async def play() -> None:
         sharing = SharedHealthChecksConfig(probe_ms=100, stale_ms=600)
         async with MaintenanceRun(tmp_path, plan, sharing=sharing) as up, asyncio.timeout(60):
-            while not all(proxy.told("sharing_begins") for proxy in up.proxies):
+            while not all(proxy.told("health_check_sharing_started") for proxy in up.proxies):
                 await asyncio.sleep(0.02)
             await more(up, 10)
             await up.kill_proxy(0)
             await more(up, 10)
             await up.engine.end(signal.SIGKILL)
-            while not all(proxy.told("sharing_ends") for proxy in up.proxies[1:]):
+            while not all(proxy.told("health_check_sharing_stopped") for proxy in up.proxies[1:]):
                 await asyncio.sleep(0.02)
             await more(up, 2)
             await up.restart_engine()
-            while not all(len(proxy.told("sharing_begins")) == 2 for proxy in up.proxies[1:]):
+            while not all(len(proxy.told("health_check_sharing_started")) == 2 for proxy in up.proxies[1:]):
                 await asyncio.sleep(0.02)
             assert up.tally.lost == 0 and up.tally.answers["UP"] > 0
-            assert not any(proxy.told("sharing_fault") for proxy in up.proxies)
+            assert not any(proxy.told("health_check_sharing_failed") for proxy in up.proxies)
 
     asyncio.run(play())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -152,11 +152,11 @@
     await platform.until(port, 200)
     old.send_signal(signal.SIGTERM)
     assert old.stdout is not None
-    assert (await events(old.stdout, "draining"))["handed_over"] is True
+    assert (await events(old.stdout, "shutdown_started"))["handed_over"] is True
     more = [asyncio.ensure_future(platform.client()) for _ in range(12)]
     early[1].write(b"OPEN %016x 1 c=chat,d=2000\r\n" % 99)
     assert (await early[0].readline()).startswith(b"UP") and await early[0].readline() == b"MOVE\r\n"
-    assert (await events(old.stdout, "stopped"))["connections"] == 6  # whoever came later is the other's
+    assert (await events(old.stdout, "proxy_stopped"))["connections"] == 6  # whoever came later is the other's
     assert await old.wait() == 0
     assert [await each for each in clients] == [b"MOVE\r\n"] * 5
     assert (await platform.first(b"PING\r\n"))[0] == b"PONG\r\n"
