--- a/stoatgw/controller/controller.py
+++ b/stoatgw/controller/controller.py
@@ -9,8 +9,7 @@
 import asyncio
 import traceback
 from collections import deque
-from collections.abc import Callable, Iterable
-from typing import Protocol
+from collections.abc import Iterable
 
 from stoatgw.clock import Clock
 from stoatgw.controller.messages import (
@@ -36,6 +35,7 @@
     SessionRestored,
     TimerFired,
 )
+from stoatgw.controller.policy import MakePolicy
 from stoatgw.decisions import interface
 from stoatgw.decisions.balancer import Balancer
 from stoatgw.decisions.interface import (
@@ -45,7 +45,6 @@
     Cancel,
     CheckHealth,
     CloseIdle,
-    EndpointUpdate,
     Event,
     Fail,
     FetchEndpoints,
@@ -68,14 +67,6 @@
 GOLDEN = 0.6180339887  # steps of this part of a span, over and over, never fall close together
 
 
-class DecisionPolicy(Protocol):
-    """Whatever decides: the `Balancer`, or a policy that experiments set beside it."""
-
-    def start(self, now_us: int) -> list[Action]: ...
-
-    def handle(self, event: Event, now_us: int) -> list[Action]: ...
-
-
 class Controller:
     def __init__(
         self,
@@ -84,16 +75,15 @@
         clock: Clock,
         log: EventLog,
         counters: Counters,
-        make: Callable[[Settings, int], DecisionPolicy] = Balancer,
-        mover: MigrationPlanner | None = None,
+        make_policy: MakePolicy = Balancer,
     ) -> None:
-        self._settings, self._seed, self._clock, self._make = settings, seed, clock, make
-        self._log, self._counters, self._mover = log, counters, mover
+        self._settings, self._seed, self._clock, self._make = settings, seed, clock, make_policy
+        self._log, self._counters = log, counters
+        self._mover: MigrationPlanner | None = None
         self._inbox: deque[Message] = deque()
         self._wake = asyncio.Event()
         self._reqs: dict[str, RequestState] = {}
-        self._balancer = make(settings, seed)
-        self._lists: dict[str, EndpointUpdate] = {}
+        self._balancer = make_policy(settings, seed)
         self._draining, self._newcomers_until_us = False, 0
         self._serve_until_us, self._over_us, self._late = 0, 0, 0
         self._moves: list[asyncio.TimerHandle] = []  # of a drain, not due yet
@@ -115,8 +105,8 @@
         self._inbox.append(message)
         self._wake.set()
 
-    def start(self, fleet: BackendGateway) -> None:
-        self._fleet, self._now_us = fleet, self._clock.now_us()
+    def start(self, fleet: BackendGateway, migration_planner: MigrationPlanner | None = None) -> None:
+        self._fleet, self._mover, self._now_us = fleet, migration_planner, self._clock.now_us()
         self._perform(self._balancer.start(self._now_us))
         if self._mover is not None:
             asyncio.get_running_loop().call_later(self._mover.interval_us / 1e6, self.post, RebalanceDue())
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -15,9 +15,10 @@
 from stoatgw.backends.backend import BackendRegistry
 from stoatgw.clock import Clock
 from stoatgw.config.settings import flatten, read_settings
-from stoatgw.controller.controller import Controller, DecisionPolicy
+from stoatgw.controller.controller import Controller
 from stoatgw.controller.graceful_shutdown import plan_shutdown
 from stoatgw.controller.messages import EndpointsUpdated, HealthCheckCompleted, SessionMetricObserved, SessionRestored
+from stoatgw.controller.policy import MakePolicy
 from stoatgw.decisions.balancer import Balancer
 from stoatgw.decisions.interface import (
     AttemptStatus,
@@ -51,11 +52,10 @@
 WATCH_AGAIN_US = 100_000  # a proxy that lost its watch has it again so soon
 ADMIT_US = 100_000  # the front finds a proxy ready so long after its start
 
-Make = Callable[[Settings, int], DecisionPolicy]
-Policy = Callable[[WorldState], Make]
+Policy = Callable[[WorldState], MakePolicy]
 
 
-def module(_: WorldState) -> Make:
+def module(_: WorldState) -> MakePolicy:
     """The project's own module, as in service."""
     return Balancer
 
@@ -147,12 +147,12 @@
         seed = realm.streams.number(f"module {index}", starts)
         limits = realm.scenario.operators.rebalance
         mover = Rebalancer(limits, settings, seed) if limits.enabled else None
-        owner = Controller(settings, seed, self.clock, SilentLog(name, realm), counters, self._make, mover)
+        owner = Controller(settings, seed, self.clock, SilentLog(name, realm), counters, self._make)
         draws = Uniforms(realm.streams.of(f"proxy {index}", starts))
         proxy = Proxy(index, name, realm.proxy_zone(index), loop, owner, BackendRegistry(), settings, draws, counters)
         realm.log(EventKind.PROXY, name, detail="up")
         known = list(realm.known[index].values())
-        loop.deliver(lambda: owner.start(VirtualGateway(self, proxy)))
+        loop.deliver(lambda: owner.start(VirtualGateway(self, proxy), mover))
         self._told(proxy, known, whole=True)
         loop.deliver(partial(self._begin_owner, proxy))
         if proxy.settings.profiles and self.realm.scenario.module.tells_delay:
--- a/stoatgw/emulator/virtual/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -7,9 +7,8 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 
-from stoatgw.controller.controller import DecisionPolicy
+from stoatgw.controller.policy import MakePolicy
 from stoatgw.decisions import interface as api
 from stoatgw.decisions.interface import AttemptStatus, EndpointUpdateKind, Lifecycle
 from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
@@ -186,9 +185,9 @@
         return best
 
 
-def floor(realm: WorldState) -> Callable[[api.Settings, int], DecisionPolicy]:
+def floor(realm: WorldState) -> MakePolicy:
     return lambda settings, seed: Floor(realm, settings, seed)
 
 
-def top(realm: WorldState) -> Callable[[api.Settings, int], DecisionPolicy]:
+def top(realm: WorldState) -> MakePolicy:
     return lambda settings, seed: Top(realm, settings, seed)
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -116,8 +116,7 @@
     loop, clock = asyncio.get_running_loop(), Clock()
     log, counters, backends = EventLog(deployment.name), Counters(), BackendRegistry()
     settings = deployment.settings
-    mover = make_mover(operators, settings, deployment.seed)
-    owner = Controller(settings, deployment.seed, clock, log, counters, mover=mover)
+    owner = Controller(settings, deployment.seed, clock, log, counters)
     columns = LoadReportSchema(settings.report_columns)
     sharing = None
     if operators is not None and operators.membership is not None and operators.sharing is not None:
@@ -179,7 +178,7 @@
         agent.start()
     director.load_snapshot(deployment.known)
     backstage = ServiceGateway(backends, prober, director)
-    owner.start(backstage)
+    owner.start(backstage, make_mover(operators, settings, deployment.seed))
     bind(listener, deployment.listen)
     loops: list[Callable[[], Coroutine[Any, Any, None]]] = [owner.run, director.run, listener.run, listener.watch]
     beside = None
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,11 +7,11 @@
 import pytest
 
 from stoatgw.backends.backend import Backend
-from stoatgw.controller.controller import Controller, DecisionPolicy
+from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import RequestState
+from stoatgw.controller.policy import DecisionPolicy, MakePolicy
 from stoatgw.decisions import interface as api
 from stoatgw.emulator.checker.checker import Checker, CheckerLimits, Rule
-from stoatgw.emulator.virtual.driver import Make
 from stoatgw.emulator.virtual.session_model import Session
 from stoatgw.emulator.world.events import Event, EventKind
 from stoatgw.emulator.world.world_state import WorldState
@@ -44,7 +44,7 @@
 
 
 def stubborn(pick: Any) -> Any:
-    def policy(_: WorldState) -> Make:
+    def policy(_: WorldState) -> MakePolicy:
         def make(settings: api.Settings, seed: int) -> DecisionPolicy:
             return Stubborn(pick)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,8 +28,8 @@
 from stoatgw.decisions.interface import AttemptStatus, Idempotency, KeyScope, RequestClass
 from stoatgw.sockets import calls
 from stoatgw.telemetry.log import EventLog
+from tests.controller_harness import ControllerHarness, run_with_harness
 from tests.fleet import settings
-from tests.test_owner import Stand, drive
 from tests.test_sessions import OPEN, Proxy, Streams, echo, play
 
 LINE = b"OPEN 0000000000000001 1 c=chat,d=2000\r\n"
@@ -148,20 +148,20 @@
     """What a client is told whose attempts end so, one after the other; `last`: told to the owner while one is out."""
     told: list[Any] = []
 
-    async def play(stand: Stand) -> None:
-        stand.owner = Controller(config, 7, stand.clock, EventLog("test"), stand.counters)
-        stand.owner.start(stand.backstage)
-        await stand.servers(*"abcdefghijkl")
-        req, door = stand.req()
-        await stand.take(RequestReceived(req))
+    async def play(harness: ControllerHarness) -> None:
+        harness.controller = Controller(config, 7, harness.clock, EventLog("test"), harness.counters)
+        harness.controller.start(harness.gateway)
+        await harness.list_servers(*"abcdefghijkl")
+        req, handler = harness.new_request()
+        await harness.deliver(RequestReceived(req))
         for attempt, status in enumerate(statuses):
-            await stand.take(AttemptEnded(req, attempt, AttemptEnd(status, AttemptStage.SENT)))
+            await harness.deliver(AttemptEnded(req, attempt, AttemptEnd(status, AttemptStage.SENT)))
         told.append(req)
         if last is not None:
-            await stand.take(RequestTimedOut(req) if isinstance(last, RequestTimedOut) else last)
-        told.extend(door.told)
+            await harness.deliver(RequestTimedOut(req) if isinstance(last, RequestTimedOut) else last)
+        told.extend(handler.calls)
 
-    drive(play)
+    run_with_harness(play)
     return told
 
 
@@ -171,7 +171,7 @@
     assert ask(of(Idempotency.DEDUP), AttemptStatus.DIAL_FAILED)[0].retry_before_us == 0  # the first never ran
 
 
-FAILED, REFUSED = "failed", "busy"
+FAILED, REFUSED = "fail", "reject"
 LAST: dict[str, Message] = {"overdue": RequestTimedOut(None), "stop": BeginDrain(400_000, 100_000)}  # type: ignore[arg-type]
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -26,8 +26,8 @@
 from stoatgw.suspension.store import NAME, SuspensionStore, SuspensionStoreError, decode, encode
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
+from tests.controller_harness import ControllerHarness, run_with_harness
 from tests.test_director import entry, page
-from tests.test_owner import Stand, drive
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=200)
 NAMES = st.sampled_from(["a", "b"])
@@ -176,13 +176,13 @@
 
 
 def test_clients_on_a_banned_server_are_moved_and_on_one_called_back_are_not() -> None:
-    async def play(stand: Stand) -> None:
-        await stand.servers("a", "b")
-        reqs = [stand.req() for _ in range(3)]
+    async def play(harness: ControllerHarness) -> None:
+        await harness.list_servers("a", "b")
+        reqs = [harness.new_request() for _ in range(3)]
         stood = SessionRestored(reqs[0][0], "a"), SessionRestored(reqs[1][0], "b")
-        await stand.take(*stood, EvacuateServer("a", True), EvacuateServer("b", True), EvacuateServer("b", False))
+        await harness.deliver(*stood, EvacuateServer("a", True), EvacuateServer("b", True), EvacuateServer("b", False))
         await asyncio.sleep(0.01)
-        await stand.take(SessionRestored(reqs[2][0], "a"))
-        assert [door.told for _, door in reqs] == [["move"], [], ["move"]]
+        await harness.deliver(SessionRestored(reqs[2][0], "a"))
+        assert [handler.calls for _, handler in reqs] == [["migrate"], [], ["migrate"]]
 
-    drive(play)
+    run_with_harness(play)
