--- a/stoatgw/controller/controller.py
+++ b/stoatgw/controller/controller.py
@@ -12,11 +12,11 @@
 from collections.abc import Iterable
 
 from stoatgw.clock import Clock
+from stoatgw.controller.actions import BackendGateway
 from stoatgw.controller.messages import (
     AttemptEnd,
     AttemptEnded,
     AttemptEstablished,
-    BackendGateway,
     BeginDrain,
     CancelDrain,
     ClientDisconnected,
@@ -26,7 +26,6 @@
     HealthCheckCompleted,
     Message,
     MigrateSession,
-    MigrationPlanner,
     RebalanceDue,
     RequestReceived,
     RequestState,
@@ -35,6 +34,7 @@
     SessionRestored,
     TimerFired,
 )
+from stoatgw.controller.migrations import MigrationPlanner
 from stoatgw.controller.policy import MakePolicy
 from stoatgw.decisions import interface
 from stoatgw.decisions.balancer import Balancer
--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -7,7 +7,7 @@
 from enum import Enum
 from typing import Protocol
 
-from stoatgw.decisions.interface import AttemptStatus, EndpointUpdate, Request, ServerEstimate, SessionMetricKind
+from stoatgw.decisions.interface import AttemptStatus, EndpointUpdate, Request, SessionMetricKind
 
 
 class AttemptStage(Enum):
@@ -43,26 +43,6 @@
     def migrate(self) -> None: ...
 
 
-class MigrationPlanner(Protocol):
-    """Who plans moves of standing connections, where the operators want them moved."""
-
-    interval_us: int
-
-    def plan(self, beliefs: list[ServerEstimate], now_us: int) -> list[str]:
-        """The reqs to move in this step, in order."""
-        ...
-
-
-class BackendGateway(Protocol):
-    """The backends' side: probes and the list."""
-
-    def check_health(self, server: str) -> None: ...
-
-    def close_idle(self, server: str) -> None: ...
-
-    def fetch_endpoints(self) -> None: ...
-
-
 @dataclass(slots=True, eq=False)
 class RequestState:
     """A client's request and where it stands; only the owner changes it after its arrival."""
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -25,7 +25,7 @@
 from stoatgw.config.deployment import Address, ConfigError, Deployment, load
 from stoatgw.controller.controller import Controller
 from stoatgw.controller.graceful_shutdown import plan_shutdown
-from stoatgw.controller.messages import MigrationPlanner
+from stoatgw.controller.migrations import MigrationPlanner
 from stoatgw.decisions.interface import Settings
 from stoatgw.discovery.backoff import Backoff
 from stoatgw.discovery.client import ASKED_ANSWER_S, PUSHED_ANSWER_S, DiscoveryClient
