--- a/stoatgw/atomic_file.py
+++ b/stoatgw/atomic_file.py
@@ -24,7 +24,7 @@
     return body
 
 
-def write(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Raises OSError, with the file as it was."""
     draft = path.with_suffix(f".{os.getpid()}")
     try:
--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -9,9 +9,9 @@
 from stoatgw.decisions.interface import Lifecycle
 from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.maintenance.rollout_planner import MachineStatus
-from stoatgw.management.operations import drain
-from stoatgw.suspension.applier import VACATE_US, SuspensionApplier
-from stoatgw.suspension.overrides import PLANNED
+from stoatgw.management.operations import start_drain
+from stoatgw.suspension.applier import EVACUATION_DURATION_US, SuspensionApplier
+from stoatgw.suspension.overrides import SuspensionSource
 from stoatgw.telemetry.log import EventLog
 
 
@@ -29,11 +29,15 @@
         self._director, self._outs, self._log = director, outs, log
 
     def take_out(self, servers: dict[str, int]) -> None:
-        if servers != self._outs.overlay.suspensions_from(PLANNED):
-            self._outs.apply(servers, PLANNED, min(VACATE_US, self._deployment.settings.drain_grace_us))
+        if servers != self._outs.overrides.suspensions_from(SuspensionSource.MAINTENANCE):
+            self._outs.apply(
+                servers,
+                SuspensionSource.MAINTENANCE,
+                min(EVACUATION_DURATION_US, self._deployment.settings.drain_grace_us),
+            )
 
     def drain(self) -> None:
-        drain(self._context, self._owner, self._log)
+        start_drain(self._context, self._owner, self._log)
 
     def cancel_drain(self) -> None:
         if self._context.lifecycle.resume_serving():
--- a/stoatgw/maintenance/state_file.py
+++ b/stoatgw/maintenance/state_file.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from stoatgw.atomic_file import write
+from stoatgw.atomic_file import write_atomically
 from stoatgw.maintenance.rollout_state import BYTES_MOST, RolloutState, RolloutStateError, decode, encode
 
 
@@ -31,6 +31,6 @@
     def save(self, ledger: RolloutState) -> None:
         """Raises RecordError, with the file as it was."""
         try:
-            write(self._path, encode(ledger))
+            write_atomically(self._path, encode(ledger))
         except OSError as fault:
             raise RolloutStateFileError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
--- a/stoatgw/management/operations.py
+++ b/stoatgw/management/operations.py
@@ -18,7 +18,7 @@
 DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US = 400_000, 2_000_000, 2_600_000
 
 
-def drain(context: ProxyContext, owner: Controller, log: EventLog) -> None:
+def start_drain(context: ProxyContext, owner: Controller, log: EventLog) -> None:
     """Send all clients away; nothing if that is under way."""
     if context.lifecycle.begin_drain():
         log.event("drain_started", open_connections=len(context.established_sessions))
@@ -87,7 +87,7 @@
 
     def _drain(self) -> HttpResponse:
         course = self._context.lifecycle
-        drain(self._context, self._owner, self._log)
+        start_drain(self._context, self._owner, self._log)
         return HttpResponse(200, f"yes: {course.state.value}\n")
 
     def _activate(self) -> HttpResponse:
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -187,7 +187,7 @@
 
         beside = HotRestart(os.environ.get("TMPDIR"), context, listener, director, log)
         beside.start()
-        loops.append(partial(every, LOOK_S, beside.poll, log))
+        loops.append(partial(run_periodically, LOOK_S, beside.poll, log))
     if deployment.management is not None and keeper is not None:
         from stoatgw.management.listener import ManagementListener
         from stoatgw.management.operations import Operations
@@ -199,7 +199,7 @@
             callers.bind(deployment.management)
         except OSError as fault:
             raise ConfigError(f"management: cannot listen there: {fault.strerror}") from None
-        loops += [callers.run, partial(every, BANS_LOOK_S, keeper.poll, log)]
+        loops += [callers.run, partial(run_periodically, BANS_LOOK_S, keeper.poll, log)]
     if sharing is not None:
         backstage.request_health_check = sharing.request_health_check
         loops.append(sharing.run)
@@ -236,7 +236,7 @@
     log.event("proxy_stopped", open_connections=listener.open, open_requests=owner.open_requests, **counters.all())
 
 
-async def every(pause_s: float, look: Callable[[], None], log: EventLog) -> None:
+async def run_periodically(pause_s: float, look: Callable[[], None], log: EventLog) -> None:
     """Look again and again; a fault of one look must not end the proxy."""
     told = ""
     while True:
--- a/stoatgw/suspension/overrides.py
+++ b/stoatgw/suspension/overrides.py
@@ -4,18 +4,23 @@
 
 from collections.abc import Mapping
 from dataclasses import replace
+from enum import Enum
 
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
 Suspensions = Mapping[str, int]  # session servers out by hand, and since when (us of Unix time)
 
 
-BY_HAND, PLANNED = "hand", "maintenance"  # who has a server out; one that both have out comes back with the last
+class SuspensionSource(Enum):
+    """Who has a server suspended; one that both have suspended is used again once neither has."""
+
+    OPERATOR = "operator"
+    MAINTENANCE = "maintenance"
 
 
 class EndpointOverrides:
     def __init__(self) -> None:
-        self._by: dict[str, dict[str, int]] = {}
+        self._by: dict[SuspensionSource, dict[str, int]] = {}
         self._bans: dict[str, int] = {}
         self._back: dict[str, tuple[int, int]] = {}  # called back: banned since, back since
 
@@ -23,10 +28,12 @@
     def suspensions(self) -> Suspensions:
         return self._bans
 
-    def suspensions_from(self, source: str) -> Suspensions:
+    def suspensions_from(self, source: SuspensionSource) -> Suspensions:
         return self._by.get(source, {})
 
-    def replace(self, bans: Suspensions, now_us: int, source: str = BY_HAND) -> tuple[list[str], list[str]]:
+    def replace(
+        self, bans: Suspensions, now_us: int, source: SuspensionSource = SuspensionSource.OPERATOR
+    ) -> tuple[list[str], list[str]]:
         """The bans of a source from now on; gives those newly out, and those called back."""
         self._by[source] = dict(bans)
         every = [pair for each in self._by.values() for pair in each.items()]
--- a/stoatgw/suspension/service.py
+++ b/stoatgw/suspension/service.py
@@ -7,7 +7,7 @@
 from stoatgw.clock import Clock
 from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.suspension.applier import SuspensionApplier
-from stoatgw.suspension.overrides import BY_HAND
+from stoatgw.suspension.overrides import SuspensionSource
 from stoatgw.suspension.store import SuspensionStore, SuspensionStoreError
 from stoatgw.telemetry.log import EventLog
 
@@ -19,7 +19,7 @@
         self, folder: str | None, outs: SuspensionApplier, director: DiscoveryClient, clock: Clock, log: EventLog
     ) -> None:
         self._store = SuspensionStore(Path(folder)) if folder else None
-        self._outs, self._overlay, self._director = outs, outs.overlay, director
+        self._outs, self._overlay, self._director = outs, outs.overrides, director
         self._clock, self._log = clock, log
         self._seen: tuple[int, int, int] | None = None
 
@@ -36,7 +36,7 @@
     def suspend(self, name: str) -> str:
         """Out from now on; gives why that would not outlive this process, if so."""
         now_us, why = self._clock.now_us(), ""
-        bans = dict(self._overlay.suspensions_from(BY_HAND))
+        bans = dict(self._overlay.suspensions_from(SuspensionSource.OPERATOR))
         bans.setdefault(name, now_us)
         if self._store is not None:
             try:
@@ -49,7 +49,11 @@
 
     def resume(self, name: str) -> str:
         """Used again from now on; gives why not, if so, and then nothing has changed."""
-        bans = {each: since_us for each, since_us in self._overlay.suspensions_from(BY_HAND).items() if each != name}
+        bans = {
+            each: since_us
+            for each, since_us in self._overlay.suspensions_from(SuspensionSource.OPERATOR).items()
+            if each != name
+        }
         if self._store is not None:
             try:
                 bans = self._store.change(name, None)
@@ -60,7 +64,7 @@
         return "the maintenance has it out" if name in self._overlay.suspensions else ""
 
     def _apply(self, bans: dict[str, int]) -> None:
-        self._outs.apply(bans, BY_HAND)
+        self._outs.apply(bans, SuspensionSource.OPERATOR)
         if self._store is not None:
             self._seen = self._store.seen()
 
--- a/stoatgw/suspension/store.py
+++ b/stoatgw/suspension/store.py
@@ -8,7 +8,7 @@
 
 import orjson
 
-from stoatgw.atomic_file import frame, unframe, write
+from stoatgw.atomic_file import frame, unframe, write_atomically
 from stoatgw.suspension.overrides import Suspensions
 
 NAME = "stoatgw-suspended"
@@ -78,6 +78,6 @@
 
     def _write(self, data: bytes) -> None:
         try:
-            write(self._path, data)
+            write_atomically(self._path, data)
         except OSError as fault:
             raise SuspensionStoreError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
--- a/tests/test_upgrade.py
+++ b/tests/test_hot_restart.py
@@ -18,7 +18,7 @@
 from stoatgw.hot_restart.handover import LEARN_US, LIST_US, may_begin, newer
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
 from stoatgw.hot_restart.socket_activation import adopt
-from stoatgw.service import every
+from stoatgw.service import run_periodically
 from stoatgw.telemetry.log import EventLog
 from tests.test_director import CONFIG, entry, page
 from tests.test_reload import discovery, events
@@ -279,7 +279,7 @@
             looks += 1
             raise RuntimeError("broken")
 
-        task = asyncio.get_running_loop().create_task(every(0, look, EventLog("test")))
+        task = asyncio.get_running_loop().create_task(run_periodically(0, look, EventLog("test")))
         while looks < 3:
             await asyncio.sleep(0)
         assert not task.done()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -20,7 +20,7 @@
 from stoatgw.discovery.backoff import Backoff
 from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.discovery.endpoint_list import EndpointListParser
-from stoatgw.suspension.applier import VACATE_US, SuspensionApplier
+from stoatgw.suspension.applier import EVACUATION_DURATION_US, SuspensionApplier
 from stoatgw.suspension.overrides import EndpointOverrides
 from stoatgw.suspension.service import SuspensionService
 from stoatgw.suspension.store import NAME, SuspensionStore, SuspensionStoreError, decode, encode
@@ -142,7 +142,7 @@
     old, new = Side(tmp_path), Side(tmp_path)
     assert old.state() is Lifecycle.ACTIVE and not old.keeper.has_server("s-9")
     assert old.keeper.suspend("s-1") == old.keeper.suspend("s-1") == ""
-    assert old.state() is Lifecycle.DRAINING and EvacuateServer("s-1", True, VACATE_US) in old.inbox.told
+    assert old.state() is Lifecycle.DRAINING and EvacuateServer("s-1", True, EVACUATION_DURATION_US) in old.inbox.told
     new.keeper.poll()
     assert new.state() is Lifecycle.DRAINING
     old.director.load_snapshot(page(entry(startedAtMs=9)))  # restarted, and listed whole once more
