--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -23,25 +23,25 @@
 from stoatgw.telemetry.log import EventLog
 from stoatgw.telemetry.metrics import RequestMetrics
 
-IDS_KEPT = 16_384
-DISMISSED_S = 0.25  # one that is turned away has so long to end its side
+MAX_ENDED_IDS = 16_384
+REJECTED_LINGER_S = 0.25  # one that is turned away has so long to end its side
 
 
 class RecentIds:
     """The ids that are open, and those that ended lately: an id is new for every connection, so one that
     comes again is not forwarded."""
 
-    def __init__(self, most: int = IDS_KEPT) -> None:
+    def __init__(self, most: int = MAX_ENDED_IDS) -> None:
         self._most, self._open, self._order, self._ended = most, set[str](), deque[str](), set[str]()
 
-    def fresh(self, name: str) -> bool:
+    def register(self, name: str) -> bool:
         """Whether it never came before; it is open from now on, until `done`."""
         if name in self._open or name in self._ended:
             return False
         self._open.add(name)
         return True
 
-    def done(self, name: str) -> None:
+    def mark_ended(self, name: str) -> None:
         self._open.discard(name)
         self._ended.add(name)
         self._order.append(name)
@@ -56,7 +56,7 @@
     state: RequestState
     server: str
     latency: MessageLatencyTracker
-    give_up: Callable[[], None]
+    abandon_server: Callable[[], None]
 
 
 @dataclass(slots=True, eq=False)
@@ -72,29 +72,29 @@
     request_ids: RecentIds = field(default_factory=RecentIds)
     established_sessions: dict[str, EstablishedSession] = field(default_factory=dict)
     lifecycle: ProxyLifecycle = field(default_factory=ProxyLifecycle)
-    classes: dict[str, int] = field(default_factory=dict)
-    tenants: dict[str, int] = field(default_factory=dict)
+    class_indexes: dict[str, int] = field(default_factory=dict)
+    tenant_indexes: dict[str, int] = field(default_factory=dict)
     metrics: RequestMetrics = field(init=False)
-    line_field: re.Pattern[bytes] = field(init=False)  # of a client's first line
+    request_field_pattern: re.Pattern[bytes] = field(init=False)  # of a client's first line
 
     def __post_init__(self) -> None:
-        self.classes = {profile.name: index for index, profile in enumerate(self.deployment.settings.profiles)}
-        self.tenants = {name: index for index, name in enumerate(self.deployment.settings.tenants)}
-        self.metrics = RequestMetrics(self.classes)
-        self.line_field = field_pattern([*self.classes, *self.tenants])
+        self.class_indexes = {profile.name: index for index, profile in enumerate(self.deployment.settings.profiles)}
+        self.tenant_indexes = {name: index for index, name in enumerate(self.deployment.settings.tenants)}
+        self.metrics = RequestMetrics(self.class_indexes)
+        self.request_field_pattern = field_pattern([*self.class_indexes, *self.tenant_indexes])
 
-    async def dismiss(self, sock: socket.socket, line: bytes) -> None:
+    async def reject_connection(self, sock: socket.socket, line: bytes) -> None:
         """A last line and the end, for a connection that there is no room to serve.
 
         A request may cross the line on its way: read and thrown away, it does not turn the end into a reset.
         """
-        if not self.descriptor_limiter.linger():
+        if not self.descriptor_limiter.acquire_linger():
             calls.turn_away(sock, line)
             return
         try:
-            await calls.close_after(sock, line, DISMISSED_S)
+            await calls.close_after(sock, line, REJECTED_LINGER_S)
         finally:
-            self.descriptor_limiter.lingered()
+            self.descriptor_limiter.release_linger()
 
     @property
     def is_ready(self) -> bool:
--- a/stoatgw/clients/descriptor_limiter.py
+++ b/stoatgw/clients/descriptor_limiter.py
@@ -4,18 +4,18 @@
 
 from typing import Protocol
 
-DESCRIPTORS_KEPT = 64  # for the listener, discovery, probes, the log, and sockets about to be closed
-WAITING_PART = 3  # connections that have not asked hold one in so many descriptors at most
-REQUEST_HOLDS = 2  # descriptors of a taken request: its client and its backend
-LINGER_MOST = 24  # of those kept: connections turned away whose request may still be on its way
+RESERVED_DESCRIPTORS = 64  # for the listener, discovery, probes, the log, and sockets about to be closed
+IDLE_SHARE_DIVISOR = 3  # connections that have not asked hold one in so many descriptors at most
+DESCRIPTORS_PER_REQUEST = 2  # descriptors of a taken request: its client and its backend
+MAX_LINGERING = 24  # of those kept: connections turned away whose request may still be on its way
 
 
-class Waiting(Protocol):
+class IdleConnection(Protocol):
     """A connection that has not asked yet."""
 
-    def idle(self) -> bool: ...
+    def is_idle(self) -> bool: ...
 
-    def shed(self) -> None: ...
+    def expire(self) -> None: ...
 
 
 class DescriptorLimiter:
@@ -26,27 +26,27 @@
     """
 
     def __init__(self, sockets: int) -> None:
-        self._most = max(4, sockets - DESCRIPTORS_KEPT)
-        self._waiting: dict[Waiting, None] = {}  # oldest first
+        self._most = max(4, sockets - RESERVED_DESCRIPTORS)
+        self._idle_connections: dict[IdleConnection, None] = {}  # oldest first
         self._taken = 0
         self._lingering = 0
-        self.elsewhere = 0  # descriptors that another process of this proxy holds
+        self.held_by_siblings = 0  # descriptors that another process of this proxy holds
 
     @property
-    def held(self) -> int:
-        return len(self._waiting) + REQUEST_HOLDS * self._taken
+    def descriptors_held(self) -> int:
+        return len(self._idle_connections) + DESCRIPTORS_PER_REQUEST * self._taken
 
     def _over(self, more: int) -> bool:
-        return self.held + self.elsewhere + more > self._most
+        return self.descriptors_held + self.held_by_siblings + more > self._most
 
-    def admits(self) -> bool:
+    def admit_connection(self) -> bool:
         """Whether one more may wait to ask."""
-        while len(self._waiting) >= max(1, self._most // WAITING_PART):
+        while len(self._idle_connections) >= max(1, self._most // IDLE_SHARE_DIVISOR):
             if not self._shed():
                 return False
-        return self.free(1)
+        return self.ensure_available(1)
 
-    def free(self, more: int) -> bool:
+    def ensure_available(self, more: int) -> bool:
         """Whether so many more descriptors may be held; sheds those idle longest for them."""
         while self._over(more):
             if not self._shed():
@@ -54,36 +54,36 @@
         return True
 
     def _shed(self) -> bool:
-        oldest = next((each for each in self._waiting if each.idle()), None)
+        oldest = next((each for each in self._idle_connections if each.is_idle()), None)
         if oldest is None:
             return False
-        del self._waiting[oldest]
-        oldest.shed()
+        del self._idle_connections[oldest]
+        oldest.expire()
         return True
 
-    def linger(self) -> bool:
+    def acquire_linger(self) -> bool:
         """Whether one that is turned away may be waited for, until `lingered`."""
-        if self._lingering >= LINGER_MOST:
+        if self._lingering >= MAX_LINGERING:
             return False
         self._lingering += 1
         return True
 
-    def lingered(self) -> None:
+    def release_linger(self) -> None:
         self._lingering -= 1
 
-    def waits(self, each: Waiting) -> None:
-        self._waiting[each] = None
+    def add_idle(self, each: IdleConnection) -> None:
+        self._idle_connections[each] = None
 
-    def opened(self, each: Waiting) -> None:
+    def remove_idle(self, each: IdleConnection) -> None:
         """It waits no longer."""
-        self._waiting.pop(each, None)
+        self._idle_connections.pop(each, None)
 
-    def take(self) -> bool:
+    def acquire_request(self) -> bool:
         """Room for a request, until `leave`."""
-        if not self.free(REQUEST_HOLDS):
+        if not self.ensure_available(DESCRIPTORS_PER_REQUEST):
             return False
         self._taken += 1
         return True
 
-    def leave(self) -> None:
+    def release_request(self) -> None:
         self._taken -= 1
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -15,11 +15,11 @@
 from stoatgw.line_protocol.grammar import busy
 from stoatgw.sockets import calls
 
-BACKLOG = 4096
-WATCH_S = 0.25
+LISTEN_BACKLOG = 4096
+MONITOR_INTERVAL_S = 0.25
 # A client sends a line every 2 s, and one that brings nothing back is to be moved within 7 s of the last that came:
 # with the watch and the wait for the end of a line, 5 s were too many.
-UNANSWERED_US = 4_000_000
+UNANSWERED_TIMEOUT_US = 4_000_000
 DELAY_PART = 3  # message delays are told from a third of the shortest aim on
 
 
@@ -36,18 +36,18 @@
         self._accepting: asyncio.Task[socket.socket] | None = None
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         return len(self._sessions)
 
     def bind(self, address: Address) -> None:
         """Raises OSError."""
-        self._sock = calls.listening((address.host, address.port), BACKLOG)
+        self._sock = calls.listening((address.host, address.port), LISTEN_BACKLOG)
 
     def adopt(self, sock: socket.socket) -> None:
         """Accept from a listening socket that others hold as well: it is never shut down here, only closed."""
         self._sock = sock
 
-    def accept(self, wanted: bool) -> None:
+    def set_accepting(self, wanted: bool) -> None:
         """Whether to take connections: those not taken wait in the backlog for whoever else accepts there."""
         if wanted:
             self._wanted.set()
@@ -56,15 +56,15 @@
             if self._accepting is not None:
                 self._accepting.cancel()
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Take in what waits in the backlog, and listen no more: the process's end would reset those that asked."""
-        self.accept(False)
+        self.set_accepting(False)
         if self._accepting is not None:
             await asyncio.wait([self._accepting])
         if self._sock is not None:
             with contextlib.suppress(OSError):  # none is left, or no descriptor
                 while True:
-                    self._take(calls.accepted(self._sock))
+                    self._start_session(calls.accepted(self._sock))
             self._sock.close()
 
     async def run(self) -> None:
@@ -84,39 +84,39 @@
                 context.log.event("accept_failed", error=str(fault))
                 await asyncio.sleep(calls.ACCEPT_PAUSE_S)
                 continue
-            self._take(self._accepting.result())
+            self._start_session(self._accepting.result())
 
-    def _take(self, sock: socket.socket) -> None:
+    def _start_session(self, sock: socket.socket) -> None:
         context = self._context
         context.counters.add("connections")
-        if not context.descriptor_limiter.admits():
+        if not context.descriptor_limiter.admit_connection():
             context.counters.add("connections_rejected")
-            answered = context.dismiss(sock, busy(0))
+            answered = context.reject_connection(sock, busy(0))
         else:
             answered = ClientSession(sock, context).run()
         task = asyncio.get_running_loop().create_task(answered)
         self._sessions.add(task)
         task.add_done_callback(self._sessions.discard)
 
-    async def watch(self) -> None:
+    async def monitor_sessions(self) -> None:
         """Tell message delays once a second; give up connections that bring nothing back."""
         turn = 0
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(MONITOR_INTERVAL_S)
             turn += 1
             try:
-                self._look(turn % round(1 / WATCH_S) == 0)
+                self._check_sessions(turn % round(1 / MONITOR_INTERVAL_S) == 0)
             except Exception as fault:  # a fault here must not end the proxy
                 self._context.counters.add("session_monitor_failures")
                 self._context.log.event("session_monitor_failed", error=repr(fault))
 
-    def _look(self, tell: bool) -> None:
+    def _check_sessions(self, tell: bool) -> None:
         now_us = self._context.clock.now_us()
         for standing in list(self._context.established_sessions.values()):
-            if standing.latency.oldest_pending_us(now_us) > UNANSWERED_US:
+            if standing.latency.oldest_pending_us(now_us) > UNANSWERED_TIMEOUT_US:
                 self._context.counters.add("sessions_unanswered")
                 standing.latency.asked.clear()
-                standing.give_up()
+                standing.abandon_server()
         if tell and self._context.deployment.tells_delay:
             self._tell_delays(now_us)
 
--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -10,8 +10,8 @@
 from stoatgw.line_protocol.grammar import PING, PONG, MalformedRequest, SessionRequest, busy, parse_session_request
 from stoatgw.line_protocol.splitter import LINE_CAP, LineSplitter
 
-PATIENCE_S = 2.0  # from accepting to a whole request, however its bytes trickle in and whatever PINGs come
-WAIT_MOST_MS = 3_600_000  # no client waits an hour for UP
+REQUEST_TIMEOUT_S = 2.0  # from accepting to a whole request, however its bytes trickle in and whatever PINGs come
+MAX_WAIT_MS = 3_600_000  # no client waits an hour for UP
 
 
 class RequestReader:
@@ -26,11 +26,11 @@
         self._woken = asyncio.Event()  # there is something to read, or the time is up
 
     @property
-    def over(self) -> bool:
+    def is_expired(self) -> bool:
         """Whether its time was up before it asked."""
         return self._over
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether all that has come is read, and was no request."""
         return not self._unread()
 
@@ -43,7 +43,7 @@
             pass
         return True
 
-    def shed(self) -> None:
+    def expire(self) -> None:
         """Time is up. Bytes that have come are read all the same, in case that we are late.
 
         Our reading is not ended: what crosses the last line could then not be read, and would turn it into a reset.
@@ -54,10 +54,10 @@
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
-    async def request(self) -> SessionRequest | MalformedRequest | None:
+    async def read_request(self) -> SessionRequest | MalformedRequest | None:
         """The request, or why there is none; None if the client leaves or says nothing."""
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(PATIENCE_S, self.shed)
+        timer = loop.call_later(REQUEST_TIMEOUT_S, self.expire)
         loop.add_reader(self._sock.fileno(), self._woken.set)
         try:
             while True:
@@ -93,16 +93,16 @@
         return MalformedRequest("the line is too long") if self._splitter.is_overlong else None
 
     def _judge(self, lines: list[bytes]) -> SessionRequest | MalformedRequest:
-        opened = parse_session_request(lines[0], self._context.line_field)
+        opened = parse_session_request(lines[0], self._context.request_field_pattern)
         if isinstance(opened, MalformedRequest):
             return opened
         if len(lines) > 1 or self._splitter.rest or self._splitter.is_overlong:
             # A client waits for UP after its line: what comes with it was meant for no session server.
             return MalformedRequest("more came before UP", opened.class_name)
-        if opened.class_name not in self._context.classes:
+        if opened.class_name not in self._context.class_indexes:
             return MalformedRequest("class is unknown")
-        if opened.restore_at is None and opened.wait_ms > WAIT_MOST_MS:  # one that stood before waits for good
+        if opened.restore_at is None and opened.wait_ms > MAX_WAIT_MS:  # one that stood before waits for good
             return MalformedRequest("field d is beyond belief", opened.class_name)
-        if not self._context.request_ids.fresh(opened.request_id):
+        if not self._context.request_ids.register(opened.request_id):
             return MalformedRequest("the id came before", opened.class_name)
         return opened
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -43,7 +43,7 @@
 LINGER_S = 1.0  # a peer has so long to end its side after ours has ended
 ANSWERED_LINGER_S = 0.25  # and after a refusal or an error, which nothing on its way can follow
 EARLY_CAP = 65_536  # bytes kept that a client sends while UP is on its way to it
-BOUNDARY_S = 0.5  # a MOVE waits so long for the end of a line under way
+LINE_BOUNDARY_TIMEOUT_S = 0.5  # a MOVE waits so long for the end of a line under way
 RESTORE_S, RESTORE_DIAL_US, RESTORE_PAUSE_S = 39.0, 2_000_000, 0.1
 UNTIMED = (Keyword.LOAD, Keyword.MOVE, Keyword.BYE)  # lines that answer no line of the client
 
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionEnd:
-    cause: EndReason
+    reason: EndReason
     line: bytes = b""
     reset: bool = False
 
@@ -72,7 +72,7 @@
     def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         self._sock, self._context = sock, context
         self._opening = RequestReader(sock, context)
-        context.descriptor_limiter.waits(self._opening)
+        context.descriptor_limiter.add_idle(self._opening)
         self._asking = LineSplitter()  # for the lines after UP
         self._end: asyncio.Future[SessionEnd] = asyncio.get_running_loop().create_future()
         self._req: RequestState | None = None
@@ -93,31 +93,31 @@
         counters, room, taken = self._context.counters, self._context.descriptor_limiter, False
         opened: SessionRequest | MalformedRequest | None = None
         try:
-            opened = await self._opening.request()
-            room.opened(self._opening)
+            opened = await self._opening.read_request()
+            room.remove_idle(self._opening)
             if opened is None:
                 # BUSY: a request that crosses it on the way has its answer, and may be repeated.
-                await self._context.dismiss(self._sock, busy(0))
+                await self._context.reject_connection(self._sock, busy(0))
                 return
             if isinstance(opened, MalformedRequest):
                 counters.add("requests_malformed")
                 self._context.metrics.record_outcome(opened.class_name, RequestOutcome.ERROR)
-                await self._context.dismiss(self._sock, error(opened.reason))
+                await self._context.reject_connection(self._sock, error(opened.reason))
                 return
             self._class = opened.class_name
-            taken = room.take()
+            taken = room.acquire_request()
             if not taken:
                 counters.add("requests_over_descriptor_limit")
                 self._count(RequestOutcome.OVERLOAD)
                 await calls.close_after(self._sock, busy(0), ANSWERED_LINGER_S)
                 return
             end = await self._serve(opened)
-            counters.add(f"sessions_{end.cause.value}")
-            if end.reset or end.cause is EndReason.CLIENT_DISCONNECTED:  # nobody is there to read a last line
+            counters.add(f"sessions_{end.reason.value}")
+            if end.reset or end.reason is EndReason.CLIENT_DISCONNECTED:  # nobody is there to read a last line
                 calls.close(self._sock, reset=end.reset)
                 ours = None
             else:
-                answered = end.cause in (EndReason.ANSWERED, EndReason.PROTOCOL_VIOLATED)
+                answered = end.reason in (EndReason.ANSWERED, EndReason.PROTOCOL_VIOLATED)
                 ours = calls.close_after(self._sock, end.line, ANSWERED_LINGER_S if answered else LINGER_S)
             parted = self._parting.part(LINGER_S) if self._parting is not None else None
             await asyncio.gather(*(each for each in (ours, parted) if each is not None))
@@ -133,11 +133,11 @@
             calls.close(self._sock)
             if self._parting is not None:
                 self._parting.close()
-            room.opened(self._opening)
+            room.remove_idle(self._opening)
             if taken:
-                room.leave()
+                room.release_request()
             if isinstance(opened, SessionRequest):
-                self._context.request_ids.done(opened.request_id)
+                self._context.request_ids.mark_ended(opened.request_id)
 
     async def _serve(self, opened: SessionRequest) -> SessionEnd:
         self._open = opened
@@ -157,7 +157,7 @@
             self._context.metrics.open_requests -= 1
             # A socket may be closed only once no task waits on it.
             await _stop(reader)
-            if not self._end.done() or self._end.result().cause in GONE:
+            if not self._end.done() or self._end.result().reason in GONE:
                 owner.post(ClientDisconnected(req))
             if self._attempting is not None:
                 await _stop(self._attempting)
@@ -167,10 +167,10 @@
         now_us = self._context.clock.now_us()
         asked = Request(
             request_id=opened.request_id,
-            request_class=self._context.classes[opened.class_name],
+            request_class=self._context.class_indexes[opened.class_name],
             time_left_us=opened.wait_ms * 1000,
             # One that the settings do not name has no quota: it may not use up that of another.
-            tenant=self._context.tenants.get(opened.tenant, len(self._context.tenants)),
+            tenant=self._context.tenant_indexes.get(opened.tenant, len(self._context.tenant_indexes)),
             idempotency_key=opened.idempotency_key,
             group=opened.group if self._context.deployment.settings.groups else None,
             hint_us=opened.load_hint,
@@ -235,9 +235,9 @@
             self._finish(SessionEnd(EndReason.MIGRATED, MOVE + b"\r\n"))
         else:
             # Guards against a backend that stops in the middle of a line.
-            asyncio.get_running_loop().call_later(BOUNDARY_S, self._finish, SessionEnd(EndReason.MIGRATED))
+            asyncio.get_running_loop().call_later(LINE_BOUNDARY_TIMEOUT_S, self._finish, SessionEnd(EndReason.MIGRATED))
 
-    def give_up(self) -> None:
+    def abandon_server(self) -> None:
         """The backend answers nothing any more: its client is better off elsewhere."""
         self._given_up = AttemptStatus.DROPPED
         self.migrate()
@@ -345,7 +345,7 @@
         context = self._context
         context.counters.add("requests_established")
         context.established_sessions[req.request.request_id] = EstablishedSession(
-            req, server, self._messages, self.give_up
+            req, server, self._messages, self.abandon_server
         )
         self._up = True
         self._count(RequestOutcome.SUCCESS)
@@ -365,7 +365,7 @@
             return
         end = self._end.result() if self._end.done() else None
         politely = (
-            end is not None and end.cause in (EndReason.CLIENT_DISCONNECTED, EndReason.MIGRATED) and not end.reset
+            end is not None and end.reason in (EndReason.CLIENT_DISCONNECTED, EndReason.MIGRATED) and not end.reset
         )
         if attempt.stage is AttemptStage.ESTABLISHED and politely:
             # Closed over unread bytes, it would be reset, and the client's last lines might go with that.
@@ -420,7 +420,7 @@
                     await self._attempt.send(data)
                 except OSError:
                     # The backend's last lines may still be on their way to the client.
-                    await asyncio.sleep(BOUNDARY_S)
+                    await asyncio.sleep(LINE_BOUNDARY_TIMEOUT_S)
                     self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=True))
                     return
             self._finish(SessionEnd(EndReason.CLIENT_DISCONNECTED))
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -134,7 +134,11 @@
         kernel.run(realm.end_us + AFTER_US)
         for proxy in self.proxies:
             if not proxy.ended:
-                held = max(0, proxy.owner.open_requests - sum(session.known for session in proxy.sessions.values()))
+                held = max(
+                    0,
+                    proxy.owner.open_requests
+                    - sum(session.is_known_to_controller for session in proxy.sessions.values()),
+                )
                 realm.log(EventKind.HELD, proxy.name, number=held)
                 for fault in proxy.loop.faults:
                     realm.log(EventKind.NOTE, proxy.name, detail=str(fault.get("exception", fault))[:200])
@@ -171,8 +175,8 @@
             client = self.clients[index]
             session = Session(self, proxy, client, client.next_id(), self.kernel.now_us())
             self.stands(session)
-            session.stand_from_start(self.realm.machines[server])
-            proxy.loop.deliver(partial(proxy.owner.post, SessionRestored(session.req, server)))
+            session.start_established(self.realm.machines[server])
+            proxy.loop.deliver(partial(proxy.owner.post, SessionRestored(session.request_state, server)))
 
     # Clients, as the crowd asks for them.
 
@@ -183,18 +187,18 @@
             return None
         client = self.clients[index]
         session = Session(self, there, client, client.next_id(), now_us + 2 * way_us)
-        self.kernel.at(now_us + 3 * way_us, partial(there.loop.deliver, session.arrive))
-        self.kernel.at(session.asked_us + session.patience_us, partial(self.give_up, session))
+        self.kernel.at(now_us + 3 * way_us, partial(there.loop.deliver, session.receive_request))
+        self.kernel.at(session.asked_us + session.wait_us, partial(self.give_up, session))
         return session
 
     def client_leaves(self, session: Session) -> None:
         if not session.answered:
             self.realm.log(EventKind.GONE, session.proxy.name, session.name)
         way_us = self.realm.client_way_us
-        self.kernel.at(self.kernel.now_us() + way_us, partial(session.proxy.loop.deliver, session.client_left))
+        self.kernel.at(self.kernel.now_us() + way_us, partial(session.proxy.loop.deliver, session.client_disconnected))
 
     def quits(self, session: Session) -> None:
-        session.quit()
+        session.close_by_client()
 
     # Servers, as the realm tells of them.
 
@@ -203,13 +207,13 @@
 
     def sent_away(self, machine: ServerModel) -> None:
         for session in self.sessions_at(machine.draw.name):
-            session.server_ends("MOVE", AttemptStatus.REVOKED)
+            session.server_ended("MOVE", AttemptStatus.REVOKED)
 
     def died(self, machine: ServerModel) -> None:
         for proxy in self.proxies:
             for session in list(proxy.sessions.values()):
-                if session.machine is machine:
-                    session.server_ends("reset", AttemptStatus.DROPPED)
+                if session.server is machine:
+                    session.server_ended("reset", AttemptStatus.DROPPED)
 
     def grew(self, machine: ServerModel) -> None:
         pass  # whoever is told of it reaches it
@@ -225,7 +229,7 @@
 
     def _silent(self, proxy: Proxy, machine: ServerModel) -> None:
         for session in proxy.standing.get(machine.draw.name, {}).values():
-            session.unheard()
+            session.lose_server()
 
     def cut_zones(self, cut: bool) -> None:
         now_us = self.kernel.now_us()
@@ -300,7 +304,7 @@
         proxy.ended = True
         proxy.loop.kill()
         for session in list(proxy.sessions.values()):
-            session.proxy_died(how)
+            session.proxy_ended(how)
         self.realm.log(EventKind.PROXY, proxy.name, detail=how)
         self.kernel.at(self.kernel.now_us() + back_us, partial(self._restart, proxy.index))
 
@@ -358,7 +362,7 @@
             if delay_ms > tell_ms:
                 late.add(server)
             if delay_ms > tell_ms or server in proxy.late:
-                proxy.owner.post(SessionMetricObserved(session.req, SessionMetricKind.DELAY, delay_ms))
+                proxy.owner.post(SessionMetricObserved(session.request_state, SessionMetricKind.DELAY, delay_ms))
         proxy.late = late
 
     def _each_server(self, proxy: Proxy) -> Iterator[tuple[str, Session]]:
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -28,7 +28,7 @@
 
 DIAL_US = 250_000
 UNANSWERED_US, LOOK_US = 5_000_000, 250_000  # a connection unanswered so long is given up at the next look
-DESCRIPTORS_KEPT, REQUEST_HOLDS = 64, 2  # as `stoatgw/clients/descriptor_limiter.py` has them
+RESERVED_DESCRIPTORS, DESCRIPTORS_PER_REQUEST = 64, 2  # as `stoatgw/clients/descriptor_limiter.py` has them
 
 
 class Session:
@@ -38,9 +38,9 @@
         population, index = world.realm.population, client.index
         self.profile = int(population.profile[index])
         profile = proxy.settings.profiles[self.profile]
-        self.patience_us = profile.deadline_us
+        self.wait_us = profile.deadline_us
         self.group = int(population.group[index])
-        self.req = RequestState(
+        self.request_state = RequestState(
             Request(
                 request_id=name,
                 request_class=self.profile,
@@ -54,8 +54,8 @@
         )
         self.client_answered = False  # the client has its answer, or waits no longer
         self.answered = False  # the proxy gave its final answer
-        self.known = False  # the owner knows the req
-        self.machine: ServerModel | None = None  # where an attempt is out, or where it stands
+        self.is_known_to_controller = False  # the owner knows the req
+        self.server: ServerModel | None = None  # where an attempt is out, or where it stands
         self._attempt = -1
         self._stage = AttemptStage.CONNECTING
         self._link = 0  # tells this attempt's events from an earlier one's
@@ -66,38 +66,38 @@
 
     # The client's side.
 
-    def arrive(self) -> None:
+    def receive_request(self) -> None:
         """The whole line has come at the proxy."""
         proxy, realm = self.proxy, self._realm
-        if REQUEST_HOLDS * (len(proxy.sessions) + 1) + DESCRIPTORS_KEPT > realm.scenario.proxies.sockets:
+        if DESCRIPTORS_PER_REQUEST * (len(proxy.sessions) + 1) + RESERVED_DESCRIPTORS > realm.scenario.proxies.sockets:
             self._ended = True
             self._to_client("busy", 0)
             return
         proxy.sessions[self.name] = self
-        self.known = True
+        self.is_known_to_controller = True
         now_us = self._kernel.now_us()
         # As on sockets: the proxy knows what the line says, and when it read it.
-        self.req.deadline_us = now_us + self.patience_us
+        self.request_state.deadline_us = now_us + self.wait_us
         realm.log(
             EventKind.TAKEN,
             proxy.name,
             self.name,
-            number=self.asked_us + self.patience_us - realm.start_us,
+            number=self.asked_us + self.wait_us - realm.start_us,
             detail=str(self.client.index),
         )
-        proxy.owner.post(RequestReceived(self.req))
+        proxy.owner.post(RequestReceived(self.request_state))
 
-    def client_left(self) -> None:
+    def client_disconnected(self) -> None:
         """The client ended its side."""
         self._finish("left", tell=True)
 
-    def quit(self) -> None:
+    def close_by_client(self) -> None:
         """The client has had what it wanted and says so; its server ends the connection."""
-        if not self._up or self.machine is None:
+        if not self._up or self.server is None:
             self._world.client_leaves(self)
             return
-        way_us = self._realm.client_way_us + self._way_us(self.machine)
-        self._kernel.at(self._kernel.now_us() + way_us, partial(self.server_ends, "BYE", AttemptStatus.DELIVERED))
+        way_us = self._realm.client_way_us + self._way_us(self.server)
+        self._kernel.at(self._kernel.now_us() + way_us, partial(self.server_ended, "BYE", AttemptStatus.DELIVERED))
 
     # The owner's side: see Door.
 
@@ -112,7 +112,7 @@
         if machine is None or self.proxy.backends.get(server) is None:
             self._tell_end(AttemptStatus.DIAL_FAILED, "no such backend")
             return
-        self.machine = machine
+        self.server = machine
         dial_us = min(now_us + DIAL_US, cut_at_us)
         up_us = now_us + 2 * self._way_us(machine)
         failing = self.proxy.draws.next() < self._realm.scenario.network.connect_failures
@@ -202,7 +202,7 @@
         units, change_us = self.client.load()
         live = not self.proxy.loop.frozen
         held = Held(
-            self.name, self.profile, units, self.group, live, partial(self.server_ends, "drop", AttemptStatus.DROPPED)
+            self.name, self.profile, units, self.group, live, partial(self.server_ended, "drop", AttemptStatus.DROPPED)
         )
         machine.hold(self._kernel.now_us(), held)
         self._kernel.at(self._kernel.now_us() + change_us, partial(self._change, machine))
@@ -224,24 +224,24 @@
             self._later(at_us, partial(self._end_attempt, status, status.value))
 
     def _is_up(self) -> None:
-        if self.machine is None:
+        if self.server is None:
             return
-        server = self.machine.draw.name
+        server = self.server.draw.name
         self._up, self._stage, self._stood_us = True, AttemptStage.ESTABLISHED, self._kernel.now_us()
         self._link += 1  # its time limit no longer counts
         self.proxy.standing.setdefault(server, {})[self.name] = self
         self._realm.log(EventKind.ENDED, self.proxy.name, self.name, server, self._attempt, "up")
         self._answer("up", 0)
         self._realm.log(EventKind.UP, self.proxy.name, self.name, server, detail=str(self.client.index))
-        self.proxy.owner.post(AttemptEstablished(self.req, self._attempt))
-        if self.machine.life is ServerLifecycle.DRAINING:  # it sent all away while this UP was on its way
-            self.server_ends("MOVE", AttemptStatus.REVOKED)
+        self.proxy.owner.post(AttemptEstablished(self.request_state, self._attempt))
+        if self.server.life is ServerLifecycle.DRAINING:  # it sent all away while this UP was on its way
+            self.server_ended("MOVE", AttemptStatus.REVOKED)
 
-    def stand_from_start(self, machine: ServerModel) -> None:
+    def start_established(self, machine: ServerModel) -> None:
         """It stood at that server before the run."""
         self.proxy.sessions[self.name] = self
-        self.known = self.answered = self.client_answered = self._up = True
-        self._stage, self._attempt, self.machine, self._stood_us = (
+        self.is_known_to_controller = self.answered = self.client_answered = self._up = True
+        self._stage, self._attempt, self.server, self._stood_us = (
             AttemptStage.ESTABLISHED,
             0,
             machine,
@@ -249,16 +249,16 @@
         )
         self.proxy.standing.setdefault(machine.draw.name, {})[self.name] = self
         units, change_us = self.client.load()
-        drop = partial(self.server_ends, "drop", AttemptStatus.DROPPED)
+        drop = partial(self.server_ended, "drop", AttemptStatus.DROPPED)
         machine.hold(self._kernel.now_us(), Held(self.name, self.profile, units, self.group, True, drop))
         self._kernel.at(self._kernel.now_us() + change_us, partial(self._change, machine))
         self._realm.log(EventKind.UP, self.proxy.name, self.name, machine.draw.name, detail=str(self.client.index))
 
     def _end_attempt(self, status: AttemptStatus, why: str) -> None:
         """An attempt that is not up is over."""
-        machine, sent = self.machine, self._stage is AttemptStage.SENT
+        machine, sent = self.server, self._stage is AttemptStage.SENT
         self._link += 1
-        self.machine = None
+        self.server = None
         if machine is not None:
             if sent:
                 self._realm.log(
@@ -269,7 +269,7 @@
         self._tell_end(status, why)
 
     def _tell_end(self, status: AttemptStatus, why: str) -> None:
-        self.proxy.owner.post(AttemptEnded(self.req, self._attempt, AttemptEnd(status, self._stage, why)))
+        self.proxy.owner.post(AttemptEnded(self.request_state, self._attempt, AttemptEnd(status, self._stage, why)))
 
     def _let_go(self, machine: ServerModel) -> None:
         """Our side of the server's connection ends; it notices one way later."""
@@ -281,9 +281,9 @@
 
     # What ends it.
 
-    def server_ends(self, how: str, status: AttemptStatus) -> None:
+    def server_ended(self, how: str, status: AttemptStatus) -> None:
         """The server ended the connection, or died: the proxy hears of it one way later."""
-        machine = self.machine
+        machine = self.server
         if machine is None or self._ended:
             return
         machine.release(self._kernel.now_us(), self.name)
@@ -303,9 +303,9 @@
         self._tell_end(status, how)
         self._leave()
 
-    def unheard(self) -> None:
+    def lose_server(self) -> None:
         """Nothing comes from its server any more: given up once a line stays unanswered too long."""
-        machine = self.machine
+        machine = self.server
         if machine is None or not self._up:
             return
         machine.set_live(self._kernel.now_us(), self.name, False)
@@ -318,7 +318,7 @@
             self._given_up = AttemptStatus.DROPPED
             self.migrate()
 
-    def proxy_died(self, how: str) -> None:
+    def proxy_ended(self, how: str) -> None:
         """The process is gone: its connections are reset on both sides."""
         if self._ended:
             return
@@ -326,14 +326,14 @@
             self._realm.log(EventKind.CUT, self.proxy.name, self.name)
         elif self._up:
             self._realm.log(EventKind.OVER, self.proxy.name, self.name, detail="proxy killed")
-        elif self.machine is not None and self._stage is AttemptStage.SENT:
-            self._realm.log(EventKind.ENDED, self.proxy.name, self.name, self.machine.draw.name, self._attempt, how)
+        elif self.server is not None and self._stage is AttemptStage.SENT:
+            self._realm.log(EventKind.ENDED, self.proxy.name, self.name, self.server.draw.name, self._attempt, how)
         self._client_lost("broken")
         self._ended = True
         self._link += 1
-        if self.machine is not None:
+        if self.server is not None:
             self._count_stood()
-            self._let_go(self.machine)
+            self._let_go(self.server)
         self.proxy.sessions.pop(self.name, None)
 
     def _answer(self, kind: str, advice_us: int) -> None:
@@ -356,35 +356,35 @@
         if self._ended:
             return
         if tell:
-            self.proxy.owner.post(ClientDisconnected(self.req))
+            self.proxy.owner.post(ClientDisconnected(self.request_state))
         if self._up:
             if how == "left":
                 self._realm.log(EventKind.OVER, self.proxy.name, self.name, detail="client left")
-            machine = self.machine
+            machine = self.server
             self._close_standing()
             if machine is not None:
                 self._let_go(machine)
             self._tell_end(self._given_up, "given up")
-        elif self.machine is not None:
+        elif self.server is not None:
             self._end_attempt(AttemptStatus.REVOKED, "given up")
         self._leave()
 
     def _close_standing(self) -> None:
         self._count_stood()
-        if self.machine is not None:
-            there = self.proxy.standing.get(self.machine.draw.name, {})
+        if self.server is not None:
+            there = self.proxy.standing.get(self.server.draw.name, {})
             there.pop(self.name, None)
             if not there:
-                self.proxy.standing.pop(self.machine.draw.name, None)
-        self.machine = None
+                self.proxy.standing.pop(self.server.draw.name, None)
+        self.server = None
 
     def _count_stood(self) -> None:
-        if self._up and self.machine is not None:
+        if self._up and self.server is not None:
             span_us = self._kernel.now_us() - self._stood_us
             self._world.tally["stood_us"] += span_us
-            self._world.tally["cross_us"] += span_us * (self.machine.draw.zone != self.proxy.zone)
+            self._world.tally["cross_us"] += span_us * (self.server.draw.zone != self.proxy.zone)
 
     def _leave(self) -> None:
-        self._ended, self.known = True, False
+        self._ended, self.is_known_to_controller = True, False
         self._link += 1
         self.proxy.sessions.pop(self.name, None)
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -40,7 +40,7 @@
         self._look()
         if any(peer.is_accepting for peer in self._others):
             self._log.event("sibling_detected", others=len(self._others))
-            self._listener.accept(False)
+            self._listener.set_accepting(False)
         else:
             self._take_clients()
 
@@ -49,7 +49,7 @@
         self._own = replace(self._own, is_accepting=True, since_us=self._context.clock.now_us())
         self._tell()
         self.is_accepting = True
-        self._listener.accept(True)
+        self._listener.set_accepting(True)
 
     def is_superseded(self) -> bool:
         """Whether a process that began later takes the clients."""
@@ -78,12 +78,12 @@
         except OSError as fault:
             self._trouble("siblings_read_failed", fault)
             self._others = []
-        self._context.descriptor_limiter.elsewhere = sum(peer.descriptors for peer in self._others)
+        self._context.descriptor_limiter.held_by_siblings = sum(peer.descriptors for peer in self._others)
 
     def poll(self) -> None:
         """To be called every LOOK_S."""
         self._look()
-        held = BASE + self._context.descriptor_limiter.held
+        held = BASE + self._context.descriptor_limiter.descriptors_held
         if held != self._own.descriptors:
             self._own = replace(self._own, descriptors=held)
             self._tell()
@@ -110,4 +110,4 @@
         if accepts != self.is_accepting and self._context.lifecycle.is_serving:
             self.is_accepting = accepts
             self._log.event("accepting_resumed" if accepts else "accepting_yielded")
-            self._listener.accept(accepts)
+            self._listener.set_accepting(accepts)
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -157,7 +157,10 @@
     loop.add_signal_handler(
         signal.SIGUSR1,
         lambda: log.event(
-            "counters_reported", open_connections=listener.open, open_requests=owner.open_requests, **counters.all()
+            "counters_reported",
+            open_connections=listener.open_connections,
+            open_requests=owner.open_requests,
+            **counters.all(),
         ),
     )
     keeper = agent = None
@@ -180,7 +183,12 @@
     backstage = ServiceGateway(backends, prober, director)
     owner.start(backstage, make_mover(operators, settings, deployment.seed))
     bind(listener, deployment.listen)
-    loops: list[Callable[[], Coroutine[Any, Any, None]]] = [owner.run, director.run, listener.run, listener.watch]
+    loops: list[Callable[[], Coroutine[Any, Any, None]]] = [
+        owner.run,
+        director.run,
+        listener.run,
+        listener.monitor_sessions,
+    ]
     beside = None
     if "LB_LISTEN_FD" in os.environ:
         from stoatgw.hot_restart.hot_restart import LOOK_S, HotRestart
@@ -213,11 +221,11 @@
         if task.done():  # none of them ends by itself
             log.event("task_ended", error=repr(task.exception()))
     handed = beside is not None and beside.is_superseded()
-    log.event("shutdown_started", open_connections=listener.open, handed_over=handed)
+    log.event("shutdown_started", open_connections=listener.open_connections, handed_over=handed)
     context.lifecycle.begin_shutdown(handed_over=handed)
     if handed:
         # Nobody comes here any more: the other process answers them. Those that came are served, then moved.
-        listener.accept(False)
+        listener.set_accepting(False)
     end, began = plan_shutdown(settings, handed_over=handed), clock.now_us()
     owner.post(end.drain)
     leaving = loop.create_task(agent.stop()) if agent is not None else None
@@ -225,15 +233,17 @@
     while (passed_us := clock.now_us() - began) < end.max_duration_us:
         if listening and passed_us >= end.min_duration_us - LAST_LOOK_US:
             listening = False
-            await listener.end()
-        if passed_us >= end.min_duration_us and not listener.open:
+            await listener.close()
+        if passed_us >= end.min_duration_us and not listener.open_connections:
             break
         await asyncio.sleep(0.02)
     if leaving is not None:
         leaving.cancel()
     if beside is not None:
         beside.stop()
-    log.event("proxy_stopped", open_connections=listener.open, open_requests=owner.open_requests, **counters.all())
+    log.event(
+        "proxy_stopped", open_connections=listener.open_connections, open_requests=owner.open_requests, **counters.all()
+    )
 
 
 async def run_periodically(pause_s: float, look: Callable[[], None], log: EventLog) -> None:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -93,7 +93,7 @@
     begin = Session.start_attempt
 
     def both(self: Session, attempt: int, server: str, cut_at_us: int) -> None:
-        machine = self.machine
+        machine = self.server
         begin(self, attempt, server, cut_at_us)
         if machine is not None:  # the first goes on beside the second
             self._realm.log(EventKind.SENT, self.proxy.name, self.name, machine.draw.name, attempt - 1)
--- a/tests/test_rude.py
+++ b/tests/test_client_misbehaviour.py
@@ -10,9 +10,9 @@
 import uvloop
 
 from stoatgw.clients import request_reader
-from stoatgw.clients.descriptor_limiter import DESCRIPTORS_KEPT, REQUEST_HOLDS, DescriptorLimiter
+from stoatgw.clients.descriptor_limiter import DESCRIPTORS_PER_REQUEST, RESERVED_DESCRIPTORS, DescriptorLimiter
 from stoatgw.line_protocol.grammar import SessionRequest
-from tests.test_sessions import OPEN, Proxy, Streams, echo, play
+from tests.test_sessions import OPEN, LoopbackProxy, Streams, run_loopback, serve_echo
 
 
 async def end(streams: Streams) -> bytes:
@@ -28,10 +28,10 @@
 
 @pytest.mark.parametrize(("word", "answer"), [(b"", b"BUSY\r\n"), (b"x", b"ERR "), (b"PING\r\n", b"PONG\r\n")])
 def test_silence_trickles_and_pings_end_in_time(word: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_reader, "PATIENCE_S", 0.2)
+    monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_S", 0.2)
 
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.client()
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.connect()
 
         async def trickle() -> None:
             while word:
@@ -41,19 +41,19 @@
         task = asyncio.create_task(trickle())
         assert (await end((reader, writer))).startswith(answer)
         task.cancel()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_a_request_that_came_while_the_proxy_was_late_still_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_reader, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         with ours, theirs:
-            asked = asyncio.create_task(request_reader.RequestReader(ours, Proxy().context).request())
+            asked = asyncio.create_task(request_reader.RequestReader(ours, LoopbackProxy().context).read_request())
             await asyncio.sleep(0.01)
             theirs.send(OPEN % 1)
             time.sleep(0.1)  # the loop is late: its time is up before it reads
@@ -68,89 +68,93 @@
         served.append(await reader.read())
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         more = OPEN % 2 + b"garbage\r\n" * 300
-        reader, writer = await proxy.ask(b"" if later else b"\r\n" + more[:-2])
-        while later and not proxy.asked:
+        reader, writer = await proxy.open_session(b"" if later else b"\r\n" + more[:-2])
+        while later and not proxy.forwarded_requests:
             await asyncio.sleep(0.01)
         if later:
             writer.write(more)
         assert await end((reader, writer)) == b"ERR more came before UP\r\n"
-        await proxy.settle()
-        assert len(proxy.asked) == later
-        while len(served) < len(proxy.asked):
+        await proxy.wait_until_idle()
+        assert len(proxy.forwarded_requests) == later
+        while len(served) < len(proxy.forwarded_requests):
             await asyncio.sleep(0.01)
 
     served: list[bytes] = []
-    play(mute, test)
+    run_loopback(mute, test)
     assert served == [b""] * later
 
 
 @pytest.mark.parametrize("bad", [b"d=99999999999", b"d=-1", b"d=NaN", b"d=", b"d=2000,h=-1", b"d=2000,h=nan"])
 def test_numbers_beyond_belief_are_errors(bad: bytes) -> None:
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.client()
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.connect()
         writer.write((OPEN % 1).replace(b"d=2000", bad))
         assert (await end((reader, writer))).startswith(b"ERR ")
-        await proxy.settle()
-        assert not proxy.asked
+        await proxy.wait_until_idle()
+        assert not proxy.forwarded_requests
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_a_sender_without_end_gets_an_error_or_an_end() -> None:
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.client()
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.connect()
         writer.write(b"x" * 60_000_000)
         assert await end((reader, writer)) in (b"", b"ERR the line is too long\r\n")
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 @pytest.mark.parametrize("word", [b"", b"PING\r\n", b"OPEN"])
 def test_idle_connections_make_room_for_those_that_ask(word: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(request_reader, "PATIENCE_S", 60.0)
+    monkeypatch.setattr(request_reader, "REQUEST_TIMEOUT_S", 60.0)
 
-    async def test(proxy: Proxy) -> None:
-        proxy.context.descriptor_limiter = DescriptorLimiter(DESCRIPTORS_KEPT + 15)
+    async def test(proxy: LoopbackProxy) -> None:
+        proxy.context.descriptor_limiter = DescriptorLimiter(RESERVED_DESCRIPTORS + 15)
         idle = []
         for _ in range(30):
-            idle.append(await proxy.client())
+            idle.append(await proxy.connect())
             idle[-1][1].write(word)
             await asyncio.sleep(0.01)
         for _ in range(3):
-            reader, writer = await proxy.ask()
+            reader, writer = await proxy.open_session()
             assert await reader.readline() == b"UP 77\r\n"
             writer.close()
         for streams in idle[:25]:
             assert (await end(streams)).startswith((b"BUSY", b"PONG", b"ERR"))
         for _, writer in idle:
             writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
-class Quiet:
+class FakeConnection:
     def __init__(self, idle: bool) -> None:
-        self._idle, self.gone = idle, False
+        self._idle, self.is_expired = idle, False
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return self._idle
 
-    def shed(self) -> None:
-        self.gone = True
+    def expire(self) -> None:
+        self.is_expired = True
 
 
 def test_room_sheds_who_is_idle_longest_and_keeps_whose_words_are_unread() -> None:
-    room = DescriptorLimiter(DESCRIPTORS_KEPT + 4)
-    assert room.admits()
-    first, second, third = Quiet(False), Quiet(True), Quiet(True)
+    room = DescriptorLimiter(RESERVED_DESCRIPTORS + 4)
+    assert room.admit_connection()
+    first, second, third = FakeConnection(False), FakeConnection(True), FakeConnection(True)
     for each in (first, second, third):
-        room.waits(each)
-    assert room.take() and (first.gone, second.gone, third.gone) == (False, True, False)
-    assert not room.take() and third.gone and not first.gone
-    room.opened(first)
-    room.leave()
-    assert room.admits() and room.free(2 * REQUEST_HOLDS) and not room.free(2 * REQUEST_HOLDS + 1)
+        room.add_idle(each)
+    assert room.acquire_request() and (first.is_expired, second.is_expired, third.is_expired) == (False, True, False)
+    assert not room.acquire_request() and third.is_expired and not first.is_expired
+    room.remove_idle(first)
+    room.release_request()
+    assert (
+        room.admit_connection()
+        and room.ensure_available(2 * DESCRIPTORS_PER_REQUEST)
+        and not room.ensure_available(2 * DESCRIPTORS_PER_REQUEST + 1)
+    )
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -13,7 +13,7 @@
 
 from stoatgw.backends.attempt import Attempt
 from stoatgw.backends.backend import Backend
-from stoatgw.clients.descriptor_limiter import DESCRIPTORS_KEPT, DescriptorLimiter
+from stoatgw.clients.descriptor_limiter import RESERVED_DESCRIPTORS, DescriptorLimiter
 from stoatgw.controller.controller import REPEAT_GUARD_US, Controller
 from stoatgw.controller.messages import (
     AttemptEnd,
@@ -30,7 +30,7 @@
 from stoatgw.telemetry.log import EventLog
 from tests.controller_harness import ControllerHarness, run_with_harness
 from tests.fleet import settings
-from tests.test_sessions import OPEN, Proxy, Streams, echo, play
+from tests.test_sessions import OPEN, LoopbackProxy, Streams, run_loopback, serve_echo
 
 LINE = b"OPEN 0000000000000001 1 c=chat,d=2000\r\n"
 
@@ -46,40 +46,40 @@
 def test_up_and_the_end_of_the_clients_time_in_one_turn_of_the_owner() -> None:
     """UP is on its way when the owner finds the time to be up: no ERR behind it, the connection stands."""
 
-    async def test(proxy: Proxy) -> None:
-        put = proxy.owner.post
+    async def test(proxy: LoopbackProxy) -> None:
+        put = proxy.controller.post
 
         def crossed(message: Message) -> None:
             if isinstance(message, AttemptEstablished):
                 put(RequestTimedOut(message.state))
             put(message)
 
-        setattr(proxy.owner, "post", crossed)  # noqa: B010
-        reader, writer = await proxy.ask()
+        setattr(proxy.controller, "post", crossed)  # noqa: B010
+        reader, writer = await proxy.open_session()
         assert await reader.readline() == b"UP 77\r\n"
         writer.write(b"still here\r\nEND\r\n")
         assert await reader.read() == b"still here\r\nBYE\r\n"
         writer.close()
-        await proxy.settle()
-        assert not proxy.owner._balancer._own.under_way  # type: ignore[attr-defined]
+        await proxy.wait_until_idle()
+        assert not proxy.controller._balancer._own.under_way  # type: ignore[attr-defined]
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_an_answer_given_as_up_comes_is_the_only_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         real = Attempt.open
 
         async def crossed(self: Attempt, *args: Any) -> AttemptEnd | None:
             end = await real(self, *args)
-            next(iter(proxy.owner._reqs.values())).handler.fail()
+            next(iter(proxy.controller._reqs.values())).handler.fail()
             return end
 
         monkeypatch.setattr(Attempt, "open", crossed)
-        assert await rest(await proxy.ask()) == b"ERR failed\r\n"
-        await proxy.settle()
+        assert await rest(await proxy.open_session()) == b"ERR failed\r\n"
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 class Piecewise(socket.socket):
@@ -124,7 +124,7 @@
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         backend = proxy.backends.get("s")
         assert backend is not None
         now_us = proxy.clock.now_us()
@@ -132,11 +132,11 @@
         end = await fetch.open(lambda _: LINE, now_us + 10**6, now_us)
         assert end is not None and (end.status, end.stage) == (AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)
         fetch.close()
-        while not proxy.asked:
+        while not proxy.forwarded_requests:
             await asyncio.sleep(0.01)
-        assert proxy.asked == [b""]
+        assert proxy.forwarded_requests == [b""]
 
-    play(serve, test)
+    run_loopback(serve, test)
 
 
 def of(effect: Idempotency, scope: KeyScope = KeyScope.ALL, **changes: Any) -> Any:
@@ -204,14 +204,14 @@
     def full() -> socket.socket:
         raise OSError(errno.EMFILE, "none left")
 
-    async def test(proxy: Proxy) -> None:
-        proxy.owner._balancer._settings = of(effect)  # type: ignore[attr-defined]
+    async def test(proxy: LoopbackProxy) -> None:
+        proxy.controller._balancer._settings = of(effect)  # type: ignore[attr-defined]
         monkeypatch.setattr(calls, "make", full)
-        assert (await rest(await proxy.ask())).startswith(b"BUSY")
-        assert proxy.owner.avoided_servers() == []
-        await proxy.settle()
+        assert (await rest(await proxy.open_session())).startswith(b"BUSY")
+        assert proxy.controller.avoided_servers() == []
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_the_last_lines_of_a_client_arrive_though_the_backends_stand_unread() -> None:
@@ -225,8 +225,8 @@
         got.set()
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.ask()
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.open_session()
         assert await reader.readline() == b"UP 77\r\n"
         reader._transport.pause_reading()  # type: ignore[attr-defined]
         await asyncio.sleep(0.1)
@@ -235,20 +235,20 @@
         await got.wait()
         writer.close()
         assert lines == [b"my last words\r\n"]
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(flood, test)
+    run_loopback(flood, test)
 
 
 def test_a_request_that_crosses_the_end_of_an_idle_connection_is_refused_without_a_reset() -> None:
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         loop = asyncio.get_running_loop()
-        proxy.context.descriptor_limiter = DescriptorLimiter(DESCRIPTORS_KEPT + 4)
+        proxy.context.descriptor_limiter = DescriptorLimiter(RESERVED_DESCRIPTORS + 4)
         first = socket.create_connection(("127.0.0.1", proxy.port))
         first.setblocking(False)
-        while not proxy.context.descriptor_limiter._waiting:
+        while not proxy.context.descriptor_limiter._idle_connections:
             await asyncio.sleep(0.01)
-        second = await proxy.client()
+        second = await proxy.connect()
         await calls.readable(first)  # room was wanted: BUSY is there, unread
         await asyncio.sleep(0.02)
         await loop.sock_sendall(first, OPEN % 99)
@@ -258,24 +258,24 @@
         await loop.sock_sendall(first, b"and more\r\n")  # a reset would be an error here
         first.close()
         second[1].close()
-        await proxy.settle()
-        assert proxy.asked == []
+        await proxy.wait_until_idle()
+        assert proxy.forwarded_requests == []
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_who_waits_in_the_backlog_as_the_process_ends_is_answered() -> None:
-    async def test(proxy: Proxy) -> None:
-        proxy.owner.post(BeginDrain(0, 0))
-        proxy.listener.accept(False)
+    async def test(proxy: LoopbackProxy) -> None:
+        proxy.controller.post(BeginDrain(0, 0))
+        proxy.listener.set_accepting(False)
         await asyncio.sleep(0.05)
-        waiting = await proxy.ask()
-        await proxy.listener.end()
+        waiting = await proxy.open_session()
+        await proxy.listener.close()
         assert (await rest(waiting)).startswith(b"BUSY")
         with pytest.raises(ConnectionRefusedError):
-            await proxy.client()
+            await proxy.connect()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_a_resting_connection_that_ends_as_it_is_probed_is_asked_anew() -> None:
@@ -289,15 +289,15 @@
             await reader.readline()  # the second probe: it ends without a word
             writer.close()
 
-    async def test(proxy: Proxy) -> None:
-        assert await proxy.probe_twice() == 2
+    async def test(proxy: LoopbackProxy) -> None:
+        assert await proxy.check_health_twice() == 2
         assert len(connections) == 2
 
-    play(serve, test)
+    run_loopback(serve, test)
 
 
 def test_no_line_is_sent_for_a_client_that_leaves_as_its_connection_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         real, begun, late = Attempt.open, asyncio.Event(), asyncio.Event()
 
         async def slow(self: Attempt, *args: Any) -> AttemptEnd | None:
@@ -306,12 +306,12 @@
             return await real(self, *args)
 
         monkeypatch.setattr(Attempt, "open", slow)
-        _, writer = await proxy.ask()
+        _, writer = await proxy.open_session()
         await begun.wait()
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
         late.set()
         await asyncio.sleep(0.05)
-        assert proxy.asked == []
+        assert proxy.forwarded_requests == []
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -372,7 +372,9 @@
         door = message.state.handler if isinstance(message, AttemptEstablished) else None
         if isinstance(door, Session) and len(left) < 20:
             left.append(door.name)
-            door._kernel.soon(partial(door.proxy.loop.deliver, door.client_left))  # before the owner's next turn
+            door._kernel.soon(
+                partial(door.proxy.loop.deliver, door.client_disconnected)
+            )  # before the owner's next turn
         put(self, message)
 
     monkeypatch.setattr(Controller, "post", leave_with_up)
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -22,7 +22,7 @@
 from stoatgw.telemetry.log import EventLog
 from tests.test_director import CONFIG, entry, page
 from tests.test_reload import discovery, events
-from tests.test_sessions import echo
+from tests.test_sessions import serve_echo
 
 
 @pytest.fixture
@@ -86,7 +86,7 @@
     async def begin(self) -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             if (await reader.readline()).startswith(b"OPEN"):
-                await echo(reader, writer)
+                await serve_echo(reader, writer)
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -13,7 +13,7 @@
 from stoatgw.decisions.interface import AttemptStatus, Endpoint, EndpointUpdate, EndpointUpdateKind, Lifecycle, Request
 from stoatgw.telemetry.metrics import RequestMetrics, RequestOutcome
 from tests.fleet import Stand
-from tests.test_sessions import Proxy, play
+from tests.test_sessions import LoopbackProxy, run_loopback
 
 KINDS = {b"UP": RequestOutcome.SUCCESS, b"BUSY": RequestOutcome.OVERLOAD}
 
@@ -48,11 +48,11 @@
                 await reader.read()
         writer.close()
 
-    async def client(proxy: Proxy, seen: Counter[tuple[str, RequestOutcome]], gone: list[str]) -> None:
+    async def client(proxy: LoopbackProxy, seen: Counter[tuple[str, RequestOutcome]], gone: list[str]) -> None:
         name, act = chance.choice(["chat", "view"]), chance.random()
-        proxy.ids += 1
-        reader, writer = await proxy.client()
-        writer.write(b"OPEN %016x 1 c=%s,d=2000\r\n" % (proxy.ids, name.encode()))
+        proxy.last_request_id += 1
+        reader, writer = await proxy.connect()
+        writer.write(b"OPEN %016x 1 c=%s,d=2000\r\n" % (proxy.last_request_id, name.encode()))
         if act < 0.1:  # does not wait for UP
             writer.write(b"early\r\n")
         if act > 0.9:  # leaves before its answer
@@ -64,16 +64,16 @@
             seen[name, KINDS.get(word, RequestOutcome.ERROR)] += bool(word)
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         seen: Counter[tuple[str, RequestOutcome]] = Counter()
         gone: list[str] = []
         for turn in range(6):
             await asyncio.gather(*(client(proxy, seen, gone) for _ in range(10)))
             if turn == 3:
-                proxy.owner._recover(RuntimeError("a fault of the module"))
+                proxy.controller._recover(RuntimeError("a fault of the module"))
             if turn == 4:
-                proxy.owner.post(BeginDrain(0, 0))
-        await proxy.settle()
+                proxy.controller.post(BeginDrain(0, 0))
+        await proxy.wait_until_idle()
         told = {
             line.split(":")[0]: int(line.split(":")[1].split("|")[0])
             for line in proxy.context.metrics.render(1, 0).splitlines()
@@ -83,10 +83,10 @@
             assert all(counts[verdict] >= seen[name, verdict] for verdict in RequestOutcome)
             assert sum(counts.values()) - sum(seen[name, verdict] for verdict in RequestOutcome) <= gone.count(name)
         # A client that leaves at once may take its attempt back before its line is read.
-        assert len(proxy.asked) <= told["proxy.dispatches"] <= len(proxy.asked) + len(gone)
+        assert len(proxy.forwarded_requests) <= told["proxy.dispatches"] <= len(proxy.forwarded_requests) + len(gone)
         assert told["proxy.concurrent"] == 0
 
-    play(serve, test)
+    run_loopback(serve, test)
 
 
 def test_avoided_are_those_that_leave_that_failed_and_that_do_not_answer() -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -16,8 +16,8 @@
 from stoatgw.backends.latency import MessageLatencyTracker, current_latency_ms
 from stoatgw.clients.context import EstablishedSession, ProxyContext, RecentIds
 from stoatgw.clients.descriptor_limiter import DescriptorLimiter
-from stoatgw.clients.listener import WATCH_S, Listener
-from stoatgw.clients.session import BOUNDARY_S
+from stoatgw.clients.listener import MONITOR_INTERVAL_S, Listener
+from stoatgw.clients.session import LINE_BOUNDARY_TIMEOUT_S
 from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, read
 from stoatgw.controller.controller import Controller
@@ -39,23 +39,30 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-class Proxy:
+class LoopbackProxy:
     """A proxy in this process, with one toy backend `s`."""
 
     def __init__(self) -> None:
         self.deployment = read(CONFIG)
         self.clock, self.counters, self.backends = Clock(), Counters(), BackendRegistry()
         log = EventLog("test")
-        self.owner = Controller(self.deployment.settings, 1, self.clock, log, self.counters)
+        self.controller = Controller(self.deployment.settings, 1, self.clock, log, self.counters)
         columns = LoadReportSchema(self.deployment.settings.report_columns)
-        self.prober = HealthChecker(self.owner, self.clock, columns, 250_000, self.counters)
-        self.room = DescriptorLimiter(self.deployment.sockets)
+        self.health_checker = HealthChecker(self.controller, self.clock, columns, 250_000, self.counters)
+        self.descriptor_limiter = DescriptorLimiter(self.deployment.sockets)
         self.context = ProxyContext(
-            self.deployment, self.owner, self.backends, self.clock, columns.to_row, self.counters, log, self.room
+            self.deployment,
+            self.controller,
+            self.backends,
+            self.clock,
+            columns.to_row,
+            self.counters,
+            log,
+            self.descriptor_limiter,
         )
         self.listener = Listener(self.context)
-        self.asked: list[bytes] = []
-        self.ids = 0
+        self.forwarded_requests: list[bytes] = []
+        self.last_request_id = 0
 
     def check_health(self, server: str) -> None:
         pass
@@ -65,35 +72,35 @@
     def fetch_endpoints(self) -> None:
         pass
 
-    async def client(self) -> Streams:
+    async def connect(self) -> Streams:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, more: bytes = b"") -> Streams:
-        self.ids += 1
-        reader, writer = await self.client()
-        writer.write((OPEN % self.ids)[:-2] + more + b"\r\n")
+    async def open_session(self, more: bytes = b"") -> Streams:
+        self.last_request_id += 1
+        reader, writer = await self.connect()
+        writer.write((OPEN % self.last_request_id)[:-2] + more + b"\r\n")
         return reader, writer
 
-    async def probe_twice(self) -> int:
+    async def check_health_twice(self) -> int:
         """Probe the backend, and again once that has ended; how many probes were answered."""
         backend = self.backends.get("s")
         assert backend is not None
         for count in (1, 2):
-            self.prober.check(backend)
+            self.health_checker.check(backend)
             while sum(n for name, n in self.counters.all().items() if name.startswith("health_checks_")) < count:
                 await asyncio.sleep(0.01)
-        self.prober.close("s")
+        self.health_checker.close("s")
         return self.counters["health_checks_delivered"]
 
-    async def settle(self) -> None:
+    async def wait_until_idle(self) -> None:
         """Wait until nothing is left behind."""
         async with asyncio.timeout(5):
-            while self.listener.open or self.owner.open_requests or self.context.established_sessions:
+            while self.listener.open_connections or self.controller.open_requests or self.context.established_sessions:
                 await asyncio.sleep(0.01)
 
-    async def play(self, serve: Serve, test: Callable[[Proxy], Awaitable[None]]) -> None:
+    async def run(self, serve: Serve, test: Callable[[LoopbackProxy], Awaitable[None]]) -> None:
         async def taken(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            self.asked.append(await reader.readline())
+            self.forwarded_requests.append(await reader.readline())
             await serve(reader, writer)
 
         server = await asyncio.start_server(taken, "127.0.0.1", 0)
@@ -104,10 +111,10 @@
             free.bind(("127.0.0.1", 0))
             self.port = free.getsockname()[1]
         self.listener.bind(Address("127.0.0.1", self.port))
-        self.owner.start(self)
-        self.owner.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, (entry,))))
+        self.controller.start(self)
+        self.controller.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, (entry,))))
         loop = asyncio.get_running_loop()
-        tasks = [loop.create_task(run()) for run in (self.owner.run, self.listener.run)]
+        tasks = [loop.create_task(run()) for run in (self.controller.run, self.listener.run)]
         try:
             async with asyncio.timeout(20):
                 await test(self)
@@ -117,11 +124,11 @@
             server.close()
 
 
-def play(serve: Serve, test: Callable[[Proxy], Awaitable[None]]) -> None:
-    uvloop.run(Proxy().play(serve, test))
+def run_loopback(serve: Serve, test: Callable[[LoopbackProxy], Awaitable[None]]) -> None:
+    uvloop.run(LoopbackProxy().run(serve, test))
 
 
-async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def serve_echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     """UP, then each line back; END ends politely, CUT with a reset, HALF in the middle of a line."""
     writer.write(b"UP 77\r\n")
     while line := await reader.readline():
@@ -137,17 +144,17 @@
 
 
 def test_lines_pass_both_ways_and_the_backends_end_reaches_the_client() -> None:
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.ask(b",again=1")
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.open_session(b",again=1")
         assert await reader.readline() == b"UP 77\r\n"
-        head, _, wait = proxy.asked[0].partition(b"d=")
+        head, _, wait = proxy.forwarded_requests[0].partition(b"d=")
         assert head == b"OPEN 0000000000000001 1 c=chat," and wait.endswith(b",again=1\r\n")
         assert 0 < int(wait.partition(b",")[0]) < 2000
         long = (b"x" * 1000 + b"\r\n") * 100
         writer.write(long + b"END\r\n")
         assert await reader.read() == long + b"BYE\r\n"
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
         assert proxy.counters["attempts_delivered"] == 1
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -158,20 +165,20 @@
         writer.write(total[:-5] + b"BYE\r\n")
         writer.close()
 
-    play(serve, test)
+    run_loopback(serve, test)
 
 
 def test_a_reset_stays_a_reset() -> None:
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.ask()
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.open_session()
         await reader.readline()
         writer.write(b"CUT\r\n")
         with pytest.raises(ConnectionResetError):
             await reader.read()
-        await proxy.settle()
+        await proxy.wait_until_idle()
         assert proxy.counters["attempts_dropped"] == 1
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 @pytest.mark.parametrize("up", [False, True])
@@ -182,78 +189,78 @@
         ends.append(await reader.read())
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.ask()
-        while not proxy.asked or (up and not await reader.readline()):
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.open_session()
+        while not proxy.forwarded_requests or (up and not await reader.readline()):
             await asyncio.sleep(0.01)
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
         while not ends:
             await asyncio.sleep(0.01)
 
     ends: list[bytes] = []
-    play(serve, test)
+    run_loopback(serve, test)
     assert ends == [b""]
 
 
 def test_a_move_waits_for_the_end_of_a_line() -> None:
-    async def test(proxy: Proxy) -> None:
-        reader, writer = await proxy.ask()
+    async def test(proxy: LoopbackProxy) -> None:
+        reader, writer = await proxy.open_session()
         await reader.readline()
         writer.write(b"HALF\r\n")
         assert await reader.readexactly(3) == b"hal"
-        proxy.context.established_sessions["0000000000000001"].give_up()
+        proxy.context.established_sessions["0000000000000001"].abandon_server()
         writer.write(b"f\r\n")
         assert await reader.read() == b"f\r\nMOVE\r\n"
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_a_drain_moves_all_and_refuses_newcomers() -> None:
-    async def test(proxy: Proxy) -> None:
-        standing = [await proxy.ask() for _ in range(5)]
+    async def test(proxy: LoopbackProxy) -> None:
+        standing = [await proxy.open_session() for _ in range(5)]
         for reader, _ in standing:
             assert await reader.readline() == b"UP 77\r\n"
-        proxy.owner.post(BeginDrain(0, 10_000))
+        proxy.controller.post(BeginDrain(0, 10_000))
         for reader, writer in standing:
             assert await reader.read() == b"MOVE\r\n"
             writer.close()
-        reader, writer = await proxy.ask()
+        reader, writer = await proxy.open_session()
         assert await reader.read() == b"BUSY\r\n"
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_bad_first_lines_are_answered_once_and_never_forwarded() -> None:
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         for line in (b"HELLO\r\n", b"x" * 5000, OPEN.replace(b"chat", b"other") % 9, OPEN % 1):
-            reader, writer = await proxy.client()
+            reader, writer = await proxy.connect()
             writer.write((b"PING\r\n" if line == b"HELLO\r\n" else b"") + line)
             answer = await reader.read()
             assert answer.replace(b"PONG\r\n", b"").startswith(b"ERR ") == (line != OPEN % 1)
             writer.close()
-        reader, writer = await proxy.client()
+        reader, writer = await proxy.connect()
         writer.write(OPEN % 1)
         assert await reader.read() == b"ERR the id came before\r\n"
         writer.close()
-        await proxy.settle()
-        assert len(proxy.asked) == 1 and proxy.counters["requests_malformed"] == 4
+        await proxy.wait_until_idle()
+        assert len(proxy.forwarded_requests) == 1 and proxy.counters["requests_malformed"] == 4
 
     async def busy(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"ERR\r\n")
         writer.close()
 
-    play(busy, test)
+    run_loopback(busy, test)
 
 
 def test_a_ping_is_answered_with_pong_only_once_there_is_a_list() -> None:
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         kept = proxy.backends._backends.pop("s")
-        reader, writer = await proxy.client()
+        reader, writer = await proxy.connect()
         writer.write(b"PING\r\n")
         assert await reader.readline() == b"BUSY\r\n"
         proxy.backends._backends["s"] = kept
@@ -263,9 +270,9 @@
         writer.write(b"PING\r\n")
         assert await reader.readline() == b"BUSY\r\n"
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_a_standing_connection_survives_a_late_list_and_a_backend_that_is_full_at_first() -> None:
@@ -275,22 +282,22 @@
             writer.write(b"BUSY\r\n")
             writer.close()
             return
-        await echo(reader, writer)
+        await serve_echo(reader, writer)
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         kept = proxy.backends._backends.pop("s")
-        reader, writer = await proxy.ask(b",at=s")
+        reader, writer = await proxy.open_session(b",at=s")
         await asyncio.sleep(0.05)
         proxy.backends._backends["s"] = kept
         assert await reader.readline() == b"UP 77\r\n"
-        assert set(proxy.asked) == {b"OPEN 0000000000000001 1 c=chat,d=2000,at=s\r\n"}
+        assert set(proxy.forwarded_requests) == {b"OPEN 0000000000000001 1 c=chat,d=2000,at=s\r\n"}
         writer.write(b"END\r\n")
         assert await reader.read() == b"BYE\r\n"
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
     tries: list[int] = []
-    play(serve, test)
+    run_loopback(serve, test)
 
 
 def test_a_probe_reuses_its_connection_and_reads_fields_by_name() -> None:
@@ -301,12 +308,12 @@
             writer.write(b"PONG inflight=8\r\n")
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
-        assert await proxy.probe_twice() == 2
+    async def test(proxy: LoopbackProxy) -> None:
+        assert await proxy.check_health_twice() == 2
         assert connections == [1]
 
     connections: list[int] = []
-    play(serve, test)
+    run_loopback(serve, test)
     columns = LoadReportSchema(("errors_per_s", "outstanding", "x0"))
     assert columns.to_row({"x0": 0.5, "inflight": 7, "odd": 1}) == (None, 7, 0.5)
 
@@ -345,11 +352,11 @@
 
 def test_an_open_id_is_never_forgotten_and_ended_ones_stay_bounded() -> None:
     ids = RecentIds(2)
-    assert ids.fresh("open") and not ids.fresh("open")
+    assert ids.register("open") and not ids.register("open")
     for name in "abc":
-        assert ids.fresh(name) and not ids.fresh(name)
-        ids.done(name)
-    assert [ids.fresh(name) for name in ("a", "b", "c", "open")] == [True, False, False, False]
+        assert ids.register(name) and not ids.register(name)
+        ids.mark_ended(name)
+    assert [ids.register(name) for name in ("a", "b", "c", "open")] == [True, False, False, False]
 
 
 @pytest.mark.parametrize(
@@ -366,80 +373,80 @@
         await reader.read()
         writer.close()
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         heard: list[SessionMetricObserved] = []
-        put = proxy.owner.post
+        put = proxy.controller.post
 
         def listen(message: Message) -> None:
             if isinstance(message, SessionMetricObserved):
                 heard.append(message)
             put(message)
 
-        proxy.owner.post = listen  # type: ignore[method-assign]
+        proxy.controller.post = listen  # type: ignore[method-assign]
         domain = {"tells_delay": tells[0], "tells_load": tells[1]}
         proxy.context.deployment = read(CONFIG | {"settings": CONFIG["settings"] | {"domain": domain}})
-        _, writer = await proxy.ask()
+        _, writer = await proxy.open_session()
         while not heard:
             await asyncio.sleep(0.01)
         assert [(each.kind, each.value) for each in heard] == [(means, 320.0)]
         writer.close()
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(serve, test)
+    run_loopback(serve, test)
 
 
 def test_the_tenant_of_a_line_reaches_the_decisions_and_one_unnamed_uses_up_no_quota() -> None:
     # Guards against all clients counted as the first tenant: with quotas, each proxy took nearly all for worthless.
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         asked: list[int] = []
-        put = proxy.owner.post
+        put = proxy.controller.post
 
         def listen(message: Message) -> None:
             if isinstance(message, RequestReceived):
                 asked.append(message.state.request.tenant)
             put(message)
 
-        proxy.owner.post = listen  # type: ignore[method-assign]
+        proxy.controller.post = listen  # type: ignore[method-assign]
         tenants = [{"name": "selangor"}, {"name": "johor"}]
         proxy.context.deployment = read(CONFIG | {"settings": CONFIG["settings"] | {"tenants": tenants}})
         proxy.context.__post_init__()
         for more in (b",t=johor", b",t=selangor", b",t=other", b""):
-            reader, writer = await proxy.ask(more)
+            reader, writer = await proxy.open_session(more)
             assert await reader.readline() == b"UP 77\r\n"
             writer.close()
         assert asked == [1, 0, 2, 2]
-        await proxy.settle()
+        await proxy.wait_until_idle()
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_no_attempt_is_made_for_a_client_that_has_gone() -> None:
     """Its line and its end are read before the owner's turn, as after a freeze: nothing may run for nobody."""
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         held = list[Message]()
-        setattr(proxy.owner, "post", held.append)  # noqa: B010
-        _, writer = await proxy.ask()
+        setattr(proxy.controller, "post", held.append)  # noqa: B010
+        _, writer = await proxy.open_session()
         while not held:
             await asyncio.sleep(0.01)
         writer.close()
-        while proxy.listener.open:
+        while proxy.listener.open_connections:
             await asyncio.sleep(0.01)
-        delattr(proxy.owner, "post")
+        delattr(proxy.controller, "post")
         for message in held:
-            proxy.owner.post(message)
+            proxy.controller.post(message)
         while not proxy.counters["attempts"]:
             await asyncio.sleep(0.01)
-        await proxy.settle()
-        assert proxy.counters["attempts"] == 1 and proxy.asked == []
+        await proxy.wait_until_idle()
+        assert proxy.counters["attempts"] == 1 and proxy.forwarded_requests == []
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
 
 
 def test_a_connection_that_brings_nothing_back_is_given_up_in_time_whenever_it_fell_silent() -> None:
     """A client sends a line every 2 s: 7 s after the last line that came back, whole or half, it is elsewhere."""
 
-    async def test(proxy: Proxy) -> None:
+    async def test(proxy: LoopbackProxy) -> None:
         given: list[float] = []
         for silent_us in (0, 1_999_999):
             messages, start_us = MessageLatencyTracker(), proxy.clock.now_us()
@@ -448,10 +455,10 @@
             messages.record_sent([b"next"], start_us + silent_us)
             req = RequestState(Request("0" * 16, 0, 2_000_000), 0, None)  # type: ignore[arg-type]
             proxy.context.established_sessions = {"x": EstablishedSession(req, "s", messages, lambda: given.append(1))}
-            latest_us = start_us + 7_000_000 - int((WATCH_S + BOUNDARY_S) * 1e6)
+            latest_us = start_us + 7_000_000 - int((MONITOR_INTERVAL_S + LINE_BOUNDARY_TIMEOUT_S) * 1e6)
             proxy.context.clock = SimpleNamespace(now_us=lambda latest_us=latest_us: latest_us)  # type: ignore[assignment]
-            proxy.listener._look(False)
+            proxy.listener._check_sessions(False)
         assert given == [1, 1]
         proxy.context.established_sessions = {}
 
-    play(echo, test)
+    run_loopback(serve_echo, test)
