--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -14,9 +14,9 @@
 from stoatgw.decisions.interface import AttemptStatus
 from stoatgw.line_protocol.grammar import Keyword, parse_reply
 from stoatgw.line_protocol.splitter import LineSplitter
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 
-BUFFER = 8192  # bytes read at once
+READ_SIZE_BYTES = 8192  # bytes read at once
 PARTING_MOST = 1 << 30  # a backend's bytes on their way, however many: its time is what bounds them
 REFUSALS = {
     Keyword.BYE: AttemptStatus.DELIVERED,
@@ -46,14 +46,14 @@
         self._last = Keyword.OTHER
         self._with_up: list[bytes] = []  # whole lines that came in one piece with UP
         self.stage = AttemptStage.CONNECTING
-        self.receipt = b""  # the UP line and what came with it, as it came
-        self.reset = False  # the backend ended with a reset
+        self.established_data = b""  # the UP line and what came with it, as it came
+        self.was_reset = False  # the backend ended with a reset
 
     async def open(self, line: Callable[[int], bytes], cut_at_us: int, begin_by_us: int = 0) -> AttemptEnd | None:
         """Connect, send the line, wait for UP. None: it is up. `begin_by_us`: no line is sent later; 0: at any time."""
         loop = asyncio.get_running_loop()
         try:
-            sock = self._sock = calls.make()
+            sock = self._sock = tcp.create_socket()
         except OSError as error:  # no descriptor is left: nothing is said of the backend
             return self._end(AttemptStatus.UNUSED, str(error))
         try:
@@ -71,7 +71,7 @@
                     return self._end(AttemptStatus.DIAL_FAILED, "no time left")
                 limit.reschedule(loop.time() + (cut_at_us - now_us) / 1e6)
                 self.stage = AttemptStage.SENDING
-                await calls.send_whole(sock, line((cut_at_us - now_us) // 1000))
+                await tcp.send_all(sock, line((cut_at_us - now_us) // 1000))
                 self.stage = AttemptStage.SENT
                 self._sent()
                 return await self._first(loop, sock)
@@ -85,11 +85,11 @@
 
     async def _first(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> AttemptEnd | None:
         while True:
-            data = await loop.sock_recv(sock, BUFFER)
+            data = await loop.sock_recv(sock, READ_SIZE_BYTES)
             if not data:
                 return self._end(AttemptStatus.DROPPED, "ended without a word")
-            self.receipt += data
-            lines = self._splitter.feed(data)
+            self.established_data += data
+            lines = self._splitter.receive_data(data)
             if lines:
                 reply = parse_reply(lines[0])
                 if reply.keyword is Keyword.UP:
@@ -108,11 +108,11 @@
         try:
             self._hear(self._with_up, listener)
             # No buffer is held while nothing comes: most connections wait most of the time.
-            while data := await loop.sock_recv(self._sock, BUFFER):
-                self._hear(self._splitter.feed(data), listener)
+            while data := await loop.sock_recv(self._sock, READ_SIZE_BYTES):
+                self._hear(self._splitter.receive_data(data), listener)
                 await listener.forward(data)
         except OSError as error:
-            self.reset = True
+            self.was_reset = True
             if self._last not in (Keyword.BYE, Keyword.MOVE):
                 return self._end(AttemptStatus.DROPPED, str(error))
         ended = {Keyword.BYE: AttemptStatus.DELIVERED, Keyword.MOVE: AttemptStatus.REVOKED}
@@ -129,7 +129,7 @@
 
     def close(self, *, reset: bool = False) -> None:
         if self._sock is not None:
-            calls.close(self._sock, reset=reset)
+            tcp.close(self._sock, reset=reset)
 
     def half_close(self) -> None:
         """End our sending: what was sent still arrives, also where the backend's bytes stand unread."""
@@ -137,10 +137,10 @@
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_WR)
 
-    async def part(self, wait_s: float) -> None:
+    async def close_gracefully(self, wait_s: float) -> None:
         """Close once the backend has ended its side, or after that time."""
         if self._sock is not None:
-            await calls.close_after(self._sock, b"", wait_s, PARTING_MOST)
+            await tcp.close_gracefully(self._sock, b"", wait_s, PARTING_MOST)
 
     def _end(self, status: AttemptStatus, why: str, report: dict[str, float] | None = None) -> AttemptEnd:
         return AttemptEnd(status, self.stage, why, self._row(report) if report else ())
--- a/stoatgw/backends/backend.py
+++ b/stoatgw/backends/backend.py
@@ -7,7 +7,7 @@
 
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
-GRACE_GUARD_US = 100_000  # a first byte leaves so long before the drain grace ends, at the latest
+DRAIN_GRACE_MARGIN_US = 100_000  # a first byte leaves so long before the drain grace ends, at the latest
 
 
 @dataclass(slots=True, eq=False)
@@ -23,7 +23,7 @@
         return self.host.encode(), self.port
 
     def accepts_new_sessions(self, now_us: int, grace_us: int) -> bool:
-        return self.draining_since_us is None or now_us < self.draining_since_us + grace_us - GRACE_GUARD_US
+        return self.draining_since_us is None or now_us < self.draining_since_us + grace_us - DRAIN_GRACE_MARGIN_US
 
 
 class BackendRegistry:
--- a/stoatgw/backends/health_check.py
+++ b/stoatgw/backends/health_check.py
@@ -12,7 +12,7 @@
 from stoatgw.decisions.interface import AttemptStatus
 from stoatgw.line_protocol.grammar import STATS, Keyword, Reply, parse_reply
 from stoatgw.line_protocol.splitter import LineSplitter
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 
 TIME_LIMIT_S = 0.5
@@ -61,7 +61,7 @@
             task.cancel()
         sock = self._kept.pop(name, None)
         if sock is not None:
-            calls.close(sock)
+            tcp.close(sock)
 
     async def _probe(self, backend: Backend) -> None:
         began_us = self._clock.now_us()
@@ -74,10 +74,10 @@
                     with contextlib.suppress(OSError):
                         reply = None if _ended(sock) else await self._ask(sock)
                     if reply is None:
-                        calls.close(sock)
+                        tcp.close(sock)
                         sock = None
                 if sock is None or reply is None:
-                    sock = calls.make()
+                    sock = tcp.create_socket()
                     await self._connect(sock, backend)
                     status = AttemptStatus.DROPPED
                     reply = await self._ask(sock)
@@ -92,7 +92,7 @@
             pass
         finally:
             if sock is not None:
-                calls.close(sock)
+                tcp.close(sock)
             self._counters.add(f"health_checks_{status.value}")
             self._owner.post(HealthCheckCompleted(backend.name, status, self._clock.now_us() - began_us, row))
 
@@ -100,7 +100,7 @@
         """The least lately used goes: among many backends each rests until it is closed from there."""
         self._kept[name] = sock
         while len(self._kept) > KEPT_MOST:
-            calls.close(self._kept.pop(next(iter(self._kept))))
+            tcp.close(self._kept.pop(next(iter(self._kept))))
 
     async def _connect(self, sock: socket.socket, backend: Backend) -> None:
         async with asyncio.timeout(self._dial_s):
@@ -113,7 +113,7 @@
             count = await loop.sock_recv_into(sock, buffer)
             if not count:
                 raise ConnectionError("ended without a word")
-            lines = splitter.feed(memoryview(buffer)[:count])
+            lines = splitter.receive_data(memoryview(buffer)[:count])
             if lines:
                 return parse_reply(lines[0])
             if splitter.is_overlong:
--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -18,7 +18,7 @@
 from stoatgw.controller.messages import RequestState
 from stoatgw.decisions.interface import SessionMetricKind
 from stoatgw.line_protocol.grammar import field_pattern
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from stoatgw.telemetry.metrics import RequestMetrics
@@ -89,10 +89,10 @@
         A request may cross the line on its way: read and thrown away, it does not turn the end into a reset.
         """
         if not self.descriptor_limiter.acquire_linger():
-            calls.turn_away(sock, line)
+            tcp.send_and_close(sock, line)
             return
         try:
-            await calls.close_after(sock, line, REJECTED_LINGER_S)
+            await tcp.close_gracefully(sock, line, REJECTED_LINGER_S)
         finally:
             self.descriptor_limiter.release_linger()
 
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -12,8 +12,8 @@
 from stoatgw.config.deployment import Address
 from stoatgw.controller.messages import SessionMetricObserved
 from stoatgw.decisions.interface import SessionMetricKind
-from stoatgw.line_protocol.grammar import busy
-from stoatgw.sockets import calls
+from stoatgw.line_protocol.grammar import encode_busy
+from stoatgw.sockets import tcp
 
 LISTEN_BACKLOG = 4096
 MONITOR_INTERVAL_S = 0.25
@@ -41,7 +41,7 @@
 
     def bind(self, address: Address) -> None:
         """Raises OSError."""
-        self._sock = calls.listening((address.host, address.port), LISTEN_BACKLOG)
+        self._sock = tcp.create_listener((address.host, address.port), LISTEN_BACKLOG)
 
     def adopt(self, sock: socket.socket) -> None:
         """Accept from a listening socket that others hold as well: it is never shut down here, only closed."""
@@ -64,7 +64,7 @@
         if self._sock is not None:
             with contextlib.suppress(OSError):  # none is left, or no descriptor
                 while True:
-                    self._start_session(calls.accepted(self._sock))
+                    self._start_session(tcp.accept_nowait(self._sock))
             self._sock.close()
 
     async def run(self) -> None:
@@ -73,7 +73,7 @@
             return
         while True:
             await self._wanted.wait()
-            self._accepting = loop.create_task(calls.accept(self._sock))
+            self._accepting = loop.create_task(tcp.accept(self._sock))
             await asyncio.wait([self._accepting])
             if self._accepting.cancelled():
                 continue
@@ -82,7 +82,7 @@
                 # EMFILE, ECONNABORTED and their like: what is open serves on.
                 context.counters.add("accept_failures")
                 context.log.event("accept_failed", error=str(fault))
-                await asyncio.sleep(calls.ACCEPT_PAUSE_S)
+                await asyncio.sleep(tcp.ACCEPT_RETRY_INTERVAL_S)
                 continue
             self._start_session(self._accepting.result())
 
@@ -91,7 +91,7 @@
         context.counters.add("connections")
         if not context.descriptor_limiter.admit_connection():
             context.counters.add("connections_rejected")
-            answered = context.reject_connection(sock, busy(0))
+            answered = context.reject_connection(sock, encode_busy(0))
         else:
             answered = ClientSession(sock, context).run()
         task = asyncio.get_running_loop().create_task(answered)
@@ -115,7 +115,7 @@
         for standing in list(self._context.established_sessions.values()):
             if standing.latency.oldest_pending_us(now_us) > UNANSWERED_TIMEOUT_US:
                 self._context.counters.add("sessions_unanswered")
-                standing.latency.asked.clear()
+                standing.latency.pending.clear()
                 standing.abandon_server()
         if tell and self._context.deployment.tells_delay:
             self._tell_delays(now_us)
--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -7,8 +7,15 @@
 import socket
 
 from stoatgw.clients.context import ProxyContext
-from stoatgw.line_protocol.grammar import PING, PONG, MalformedRequest, SessionRequest, busy, parse_session_request
-from stoatgw.line_protocol.splitter import LINE_CAP, LineSplitter
+from stoatgw.line_protocol.grammar import (
+    PING,
+    PONG,
+    MalformedRequest,
+    SessionRequest,
+    encode_busy,
+    parse_session_request,
+)
+from stoatgw.line_protocol.splitter import MAX_LINE_BYTES, LineSplitter
 
 REQUEST_TIMEOUT_S = 2.0  # from accepting to a whole request, however its bytes trickle in and whatever PINGs come
 MAX_WAIT_MS = 3_600_000  # no client waits an hour for UP
@@ -65,7 +72,7 @@
                 self._woken.clear()
                 data: bytes | None = None
                 with contextlib.suppress(BlockingIOError):
-                    data = self._sock.recv(LINE_CAP)
+                    data = self._sock.recv(MAX_LINE_BYTES)
                 found = await self._read(data) if data else None
                 if found is not None:
                     return found
@@ -80,11 +87,11 @@
 
     async def _read(self, data: bytes) -> SessionRequest | MalformedRequest | None:
         self._began = True
-        lines = self._splitter.feed(data)
+        lines = self._splitter.receive_data(data)
         while lines and lines[0] == PING:
             self._context.counters.add("pings")
             self._answering = True
-            answer = PONG + b"\r\n" if self._context.is_ready else busy(0)
+            answer = PONG + b"\r\n" if self._context.is_ready else encode_busy(0)
             await asyncio.get_running_loop().sock_sendall(self._sock, answer)
             self._answering = False
             lines = lines[1:]
@@ -96,12 +103,12 @@
         opened = parse_session_request(lines[0], self._context.request_field_pattern)
         if isinstance(opened, MalformedRequest):
             return opened
-        if len(lines) > 1 or self._splitter.rest or self._splitter.is_overlong:
+        if len(lines) > 1 or self._splitter.trailing_data or self._splitter.is_overlong:
             # A client waits for UP after its line: what comes with it was meant for no session server.
             return MalformedRequest("more came before UP", opened.class_name)
         if opened.class_name not in self._context.class_indexes:
             return MalformedRequest("class is unknown")
-        if opened.restore_at is None and opened.wait_ms > MAX_WAIT_MS:  # one that stood before waits for good
+        if opened.restore_at is None and opened.timeout_ms > MAX_WAIT_MS:  # one that stood before waits for good
             return MalformedRequest("field d is beyond belief", opened.class_name)
         if not self._context.request_ids.register(opened.request_id):
             return MalformedRequest("the id came before", opened.class_name)
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -9,7 +9,7 @@
 from enum import Enum
 from functools import partial
 
-from stoatgw.backends.attempt import BUFFER, Attempt
+from stoatgw.backends.attempt import READ_SIZE_BYTES, Attempt
 from stoatgw.backends.backend import Backend
 from stoatgw.backends.latency import MessageLatencyTracker
 from stoatgw.clients.context import EstablishedSession, ProxyContext
@@ -31,13 +31,13 @@
     Keyword,
     MalformedRequest,
     SessionRequest,
-    busy,
-    error,
+    encode_busy,
+    encode_error,
     parse_number,
     parse_reply,
 )
 from stoatgw.line_protocol.splitter import LineSplitter
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 from stoatgw.telemetry.metrics import RequestOutcome
 
 LINGER_S = 1.0  # a peer has so long to end its side after ours has ended
@@ -97,40 +97,40 @@
             room.remove_idle(self._opening)
             if opened is None:
                 # BUSY: a request that crosses it on the way has its answer, and may be repeated.
-                await self._context.reject_connection(self._sock, busy(0))
+                await self._context.reject_connection(self._sock, encode_busy(0))
                 return
             if isinstance(opened, MalformedRequest):
                 counters.add("requests_malformed")
                 self._context.metrics.record_outcome(opened.class_name, RequestOutcome.ERROR)
-                await self._context.reject_connection(self._sock, error(opened.reason))
+                await self._context.reject_connection(self._sock, encode_error(opened.reason))
                 return
             self._class = opened.class_name
             taken = room.acquire_request()
             if not taken:
                 counters.add("requests_over_descriptor_limit")
                 self._count(RequestOutcome.OVERLOAD)
-                await calls.close_after(self._sock, busy(0), ANSWERED_LINGER_S)
+                await tcp.close_gracefully(self._sock, encode_busy(0), ANSWERED_LINGER_S)
                 return
             end = await self._serve(opened)
             counters.add(f"sessions_{end.reason.value}")
             if end.reset or end.reason is EndReason.CLIENT_DISCONNECTED:  # nobody is there to read a last line
-                calls.close(self._sock, reset=end.reset)
+                tcp.close(self._sock, reset=end.reset)
                 ours = None
             else:
                 answered = end.reason in (EndReason.ANSWERED, EndReason.PROTOCOL_VIOLATED)
-                ours = calls.close_after(self._sock, end.line, ANSWERED_LINGER_S if answered else LINGER_S)
-            parted = self._parting.part(LINGER_S) if self._parting is not None else None
+                ours = tcp.close_gracefully(self._sock, end.line, ANSWERED_LINGER_S if answered else LINGER_S)
+            parted = self._parting.close_gracefully(LINGER_S) if self._parting is not None else None
             await asyncio.gather(*(each for each in (ours, parted) if each is not None))
         except OSError:
             counters.add("sessions_broken")
-            calls.close(self._sock)
+            tcp.close(self._sock)
         except Exception as fault:
             counters.add("sessions_crashed")
             self._count(RequestOutcome.ERROR)
             self._context.log.event("session_crashed", error=repr(fault))
-            calls.close(self._sock)
+            tcp.close(self._sock)
         finally:
-            calls.close(self._sock)
+            tcp.close(self._sock)
             if self._parting is not None:
                 self._parting.close()
             room.remove_idle(self._opening)
@@ -168,7 +168,7 @@
         asked = Request(
             request_id=opened.request_id,
             request_class=self._context.class_indexes[opened.class_name],
-            time_left_us=opened.wait_ms * 1000,
+            time_left_us=opened.timeout_ms * 1000,
             # One that the settings do not name has no quota: it may not use up that of another.
             tenant=self._context.tenant_indexes.get(opened.tenant, len(self._context.tenant_indexes)),
             idempotency_key=opened.idempotency_key,
@@ -178,7 +178,7 @@
             is_client_retry=opened.is_client_retry,
             is_returning=opened.is_returning,
         )
-        return RequestState(asked, now_us + opened.wait_ms * 1000, self)
+        return RequestState(asked, now_us + opened.timeout_ms * 1000, self)
 
     def _finish(self, end: SessionEnd) -> None:
         if not self._end.done():
@@ -217,10 +217,10 @@
             self._class = ""
 
     def reject(self, retry_after_us: int) -> None:
-        self._answer(RequestOutcome.OVERLOAD, busy(retry_after_us))
+        self._answer(RequestOutcome.OVERLOAD, encode_busy(retry_after_us))
 
     def fail(self) -> None:
-        self._answer(RequestOutcome.ERROR, error("failed"))
+        self._answer(RequestOutcome.ERROR, encode_error("failed"))
 
     def _answer(self, verdict: RequestOutcome, line: bytes) -> None:
         """Guards against a second answer: UP may be on its way while the owner's turn finds the time to be up."""
@@ -261,7 +261,7 @@
                 end = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING, "no such backend")
                 return
             attempt = self._make_attempt(backend, context.deployment.dial_timeout_us)
-            ended = await attempt.open(opened.forwarded, cut_at_us, req.retry_before_us)
+            ended = await attempt.open(opened.encode, cut_at_us, req.retry_before_us)
             if ended is None and self._end.done():
                 # Guards against UP passed on behind another answer, or for a client that has gone.
                 ended = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED, "its client was answered meanwhile")
@@ -291,7 +291,7 @@
                 )
             context.controller.post(AttemptEnded(req, number, end))
             if end.stage is AttemptStage.ESTABLISHED:
-                self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=attempt is not None and attempt.reset))
+                self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=attempt is not None and attempt.was_reset))
 
     async def _restore(self, req: RequestState, opened: SessionRequest, server: str) -> None:
         """A connection that stood before: back to its backend, also where the list or the backend is late."""
@@ -326,7 +326,7 @@
             if stood:
                 owner_end = end or AttemptEnd(AttemptStatus.DROPPED, AttemptStage.ESTABLISHED, "fault")
                 context.controller.post(AttemptEnded(req, 0, owner_end))
-                self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=attempt is not None and attempt.reset))
+                self._finish(SessionEnd(EndReason.SERVER_ENDED, reset=attempt is not None and attempt.was_reset))
             else:
                 context.counters.add("sessions_not_restored")
                 context.log.event("session_restore_failed", id=opened.request_id, why=end.reason if end else "fault")
@@ -349,7 +349,7 @@
         )
         self._up = True
         self._count(RequestOutcome.SUCCESS)
-        await self.forward(attempt.receipt)
+        await self.forward(attempt.established_data)
         while self._early:  # more may come while these are sent
             data = bytes(self._early)
             self._early.clear()
@@ -396,19 +396,19 @@
     # The client's side.
 
     def _heard_client(self, data: bytes) -> None:
-        lines = self._asking.feed(data)
+        lines = self._asking.receive_data(data)
         self._context.counters.add("lines_from_clients", len(lines))
         self._messages.record_sent(lines, self._context.clock.now_us())
 
     async def _read_client(self) -> None:
         loop = asyncio.get_running_loop()
         try:
-            while data := await loop.sock_recv(self._sock, BUFFER):
+            while data := await loop.sock_recv(self._sock, READ_SIZE_BYTES):
                 if not self._up:
                     # Guards against commands sent before the answer being served as though they were a
                     # session: a client waits for UP.
                     self._count(RequestOutcome.ERROR)
-                    self._finish(SessionEnd(EndReason.PROTOCOL_VIOLATED, error("more came before UP")))
+                    self._finish(SessionEnd(EndReason.PROTOCOL_VIOLATED, encode_error("more came before UP")))
                     return
                 if self._attempt is None:
                     self._early += data
--- a/stoatgw/discovery/backoff.py
+++ b/stoatgw/discovery/backoff.py
@@ -10,7 +10,7 @@
 
 import random
 
-TOLD_S = 6.0  # by then a change counts as told
+NOTIFICATION_DEADLINE_S = 6.0  # by then a change counts as told
 FIRST_S, PUSHED_MOST_S, ASKED_MOST_S = 0.1, 0.4, 1.0
 BUSY_PART = 2  # a discovery that says it is busy is spared at least this part of the longest wait
 FEW = 8  # so many proxies begin at once; more of them spread their first calls
--- a/stoatgw/discovery/client.py
+++ b/stoatgw/discovery/client.py
@@ -17,7 +17,7 @@
 from stoatgw.discovery.backoff import Backoff
 from stoatgw.discovery.endpoint_list import EndpointListError, EndpointListPage, EndpointListParser, Row
 from stoatgw.discovery.http import HttpBusyError, HttpError, JsonStreamParser
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
@@ -169,7 +169,7 @@
         loop, http, buffer = asyncio.get_running_loop(), JsonStreamParser(), bytearray(65536)
         after = "" if self._version is None else f"&after={self._version}"
         address = self._address
-        sock = calls.make()
+        sock = tcp.create_socket()
         try:
             async with asyncio.timeout(CONNECT_S):
                 await loop.sock_connect(sock, (address.host, address.port))
@@ -190,7 +190,7 @@
                     self._keep_only(call)
                     self._call_in(SILENT_S)
         finally:
-            calls.close(sock)
+            tcp.close(sock)
 
     def _object(self, item: bytes) -> bool:
         try:
--- a/stoatgw/line_protocol/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -33,19 +33,19 @@
     request_id: str
     idempotency_key: int
     class_name: str
-    wait_ms: int
+    timeout_ms: int
     group: int | None
     load_hint: float | None
     is_client_retry: bool
     is_returning: bool
     restore_at: str | None
     tenant: str = ""  # "": the line names none
-    wait_at: tuple[int, int] = (0, 0)  # where in the line the value of `d` is
+    timeout_span: tuple[int, int] = (0, 0)  # where in the line the value of `d` is
 
-    def forwarded(self, wait_ms: int) -> bytes:
+    def encode(self, timeout_ms: int) -> bytes:
         """The line for a session server: the client's own, but for `d`."""
-        begin, end = self.wait_at
-        return b"%s%d%s\r\n" % (self.line[:begin], wait_ms, self.line[end:])
+        begin, end = self.timeout_span
+        return b"%s%d%s\r\n" % (self.line[:begin], timeout_ms, self.line[end:])
 
 
 def field_pattern(names: Iterable[str] = ()) -> re.Pattern[bytes]:
@@ -71,7 +71,7 @@
     if not _ID.match(request) or not _HEX.match(key):
         return MalformedRequest("id or key is not hex")
     fields: dict[bytes, bytes] = {}
-    at, wait_at = len(line) - len(rest), (0, 0)
+    at, timeout_span = len(line) - len(rest), (0, 0)
     while at < len(line) or not rest:
         found = field.match(line, at)
         name = found and (found[1] or found[3])
@@ -79,7 +79,7 @@
             return MalformedRequest("a field is no name=value, or comes twice")
         fields[name] = found[2] or found[4]
         if name == b"d":
-            wait_at = found.span(4)
+            timeout_span = found.span(4)
         at = found.end()
     text = {name.decode(): value.decode() for name, value in fields.items()}
     if "c" not in text or not _DIGITS.match(fields.get(b"d", b"")):
@@ -96,14 +96,14 @@
         request_id=request.decode("ascii"),
         idempotency_key=int(key, 16),
         class_name=text["c"],
-        wait_ms=int(text["d"]),
+        timeout_ms=int(text["d"]),
         group=int(text["g"], 16) if "g" in text else None,
         load_hint=hint,
         is_client_retry=text.get("r") == "1",
         is_returning=text.get("again") == "1",
         restore_at=text.get("at"),
         tenant=text.get("t", ""),
-        wait_at=wait_at,
+        timeout_span=timeout_span,
     )
 
 
@@ -159,10 +159,10 @@
     return report
 
 
-def busy(retry_after_us: int) -> bytes:
+def encode_busy(retry_after_us: int) -> bytes:
     """The refusal, with its advice in whole milliseconds."""
     return b"BUSY %d\r\n" % -(-retry_after_us // 1000) if retry_after_us > 0 else b"BUSY\r\n"
 
 
-def error(why: str) -> bytes:
+def encode_error(why: str) -> bytes:
     return b"ERR " + why.encode("ascii", "replace") + b"\r\n"
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-LINE_CAP = 4096  # bytes in a line, its CRLF included
+MAX_LINE_BYTES = 4096  # bytes in a line, its CRLF included
 
 
 class LineSplitter:
     """Gives whole lines without their CRLF; keeps the rest for later."""
 
-    def __init__(self, cap: int = LINE_CAP) -> None:
+    def __init__(self, cap: int = MAX_LINE_BYTES) -> None:
         self._cap = cap
         self._rest = bytearray()
         self.is_overlong = False  # a line went over the cap: nothing more is read
 
-    def feed(self, data: bytes | bytearray | memoryview) -> list[bytes]:
+    def receive_data(self, data: bytes | bytearray | memoryview) -> list[bytes]:
         if self.is_overlong:
             return []
         self._rest += data
@@ -38,6 +38,6 @@
         return not self.is_overlong
 
     @property
-    def rest(self) -> bytes:
+    def trailing_data(self) -> bytes:
         """What came after the last whole line."""
         return bytes(self._rest)
--- a/stoatgw/management/listener.py
+++ b/stoatgw/management/listener.py
@@ -10,7 +10,7 @@
 from stoatgw.config.deployment import Address
 from stoatgw.management.http import HttpRequestParser, HttpResponse
 from stoatgw.management.routes import OperationRequest, parse_operation
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
@@ -34,7 +34,7 @@
 
     def bind(self, address: Address) -> None:
         """Raises OSError."""
-        self._sock = calls.listening((address.host, address.port), CALLERS_MOST)
+        self._sock = tcp.create_listener((address.host, address.port), CALLERS_MOST)
 
     async def run(self) -> None:
         if self._sock is None:
@@ -42,10 +42,10 @@
         loop = asyncio.get_running_loop()
         while True:
             try:
-                sock = await calls.accept(self._sock)
+                sock = await tcp.accept(self._sock)
             except OSError as fault:
                 self._log.event("management_accept_failed", error=str(fault))
-                await asyncio.sleep(calls.ACCEPT_PAUSE_S)
+                await asyncio.sleep(tcp.ACCEPT_RETRY_INTERVAL_S)
                 continue
             if len(self._callers) >= CALLERS_MOST:
                 # Guards against callers that send nothing, or half a call, and stay: the oldest makes room.
@@ -61,13 +61,13 @@
         try:
             answer = await self._answer(sock)
             if answer is not None:
-                await calls.close_after(sock, answer.to_bytes(), LINGER_S)
+                await tcp.close_gracefully(sock, answer.to_bytes(), LINGER_S)
         except OSError:
             pass  # the caller has gone
         except Exception as fault:  # a fault of one call must not end the address
             self._log.event("management_call_failed", error=repr(fault))
         finally:
-            calls.close(sock)
+            tcp.close(sock)
 
     async def _answer(self, sock: socket.socket) -> HttpResponse | None:
         loop, reader = asyncio.get_running_loop(), HttpRequestParser()
--- a/stoatgw/membership/client.py
+++ b/stoatgw/membership/client.py
@@ -13,7 +13,7 @@
 from stoatgw.config.deployment import Address, read_address
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.membership.etcd_api import Body
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 
 ANSWER_MOST = 1 << 20  # a ledger of thousands of machines is well under it; guards against a flood
 
@@ -85,7 +85,7 @@
         return fault
 
     async def _ask(self, address: Address, path: str, body: bytes, limit: asyncio.Timeout) -> Body | CallFailure:
-        loop, answer, sent, sock = asyncio.get_running_loop(), _Answer(), False, calls.make()
+        loop, answer, sent, sock = asyncio.get_running_loop(), _Answer(), False, tcp.create_socket()
         head = (
             f"POST {path} HTTP/1.1\r\nHost: {address.host}:{address.port}\r\nContent-Type: application/json\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
@@ -112,7 +112,7 @@
         except (OSError, ValueError) as error:
             return CallFailure(repr(error)[:200], may_have_run=sent)
         finally:
-            calls.close(sock)
+            tcp.close(sock)
 
 
 def make_client(told: MembershipConfig, first: int = 0) -> CoordinationClient:
--- a/stoatgw/sockets/calls.py
+++ b/stoatgw/sockets/tcp.py
@@ -9,18 +9,18 @@
 
 SCRAP_MOST = 1024 * 1024  # bytes read and thrown away at a connection's end
 _SCRAP = bytearray(65536)  # shared by all: nobody looks at what is in it
-ACCEPT_PAUSE_S = 0.02  # after a failed accept, such as one for want of descriptors
+ACCEPT_RETRY_INTERVAL_S = 0.02  # after a failed accept, such as one for want of descriptors
 _RESET = struct.pack("ii", 1, 0)
 
 
-def make() -> socket.socket:
+def create_socket() -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-def listening(address: tuple[str, int], backlog: int) -> socket.socket:
+def create_listener(address: tuple[str, int], backlog: int) -> socket.socket:
     """A listening socket of our own. Raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -34,7 +34,7 @@
     return sock
 
 
-async def readable(sock: socket.socket) -> None:
+async def wait_readable(sock: socket.socket) -> None:
     """Wait until there is something to read or to accept; nothing is taken from the socket.
 
     The loop's own sock_accept would lose what it had accepted if it were cancelled in the same turn.
@@ -47,7 +47,7 @@
         loop.remove_reader(sock.fileno())
 
 
-async def send_whole(sock: socket.socket, data: bytes) -> None:
+async def send_all(sock: socket.socket, data: bytes) -> None:
     """Send all; whoever is cancelled or raises in here has not sent the last byte. Raises OSError.
 
     The loop's own sock_sendall may write it in one turn and tell of it in the next: a time-out between the two
@@ -70,12 +70,12 @@
 async def accept(sock: socket.socket) -> socket.socket:
     """The next connection, ready for use; one that another process took first is waited for anew. Raises OSError."""
     while True:
-        await readable(sock)
+        await wait_readable(sock)
         with contextlib.suppress(BlockingIOError, InterruptedError):
-            return accepted(sock)
+            return accept_nowait(sock)
 
 
-def accepted(sock: socket.socket) -> socket.socket:
+def accept_nowait(sock: socket.socket) -> socket.socket:
     """A connection that waits to be accepted, ready for use. Raises OSError, BlockingIOError where none does."""
     peer, _ = sock.accept()
     peer.setblocking(False)
@@ -93,7 +93,7 @@
         sock.close()
 
 
-async def close_after(sock: socket.socket, line: bytes, wait_s: float, most_bytes: int = SCRAP_MOST) -> None:
+async def close_gracefully(sock: socket.socket, line: bytes, wait_s: float, most_bytes: int = SCRAP_MOST) -> None:
     """Send a last line, end our side, and close when the peer has ended its own.
 
     A plain close with bytes unread would reset the connection and could take the line with it. But a peer
@@ -113,7 +113,7 @@
         close(sock)
 
 
-def turn_away(sock: socket.socket, line: bytes) -> None:
+def send_and_close(sock: socket.socket, line: bytes) -> None:
     """A last line and the end at once, for a connection that there is no room to wait for."""
     with contextlib.suppress(OSError):
         sock.send(line)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stoatgw.discovery.backoff import TOLD_S, Backoff
+from stoatgw.discovery.backoff import NOTIFICATION_DEADLINE_S, Backoff
 from stoatgw.discovery.http import HttpBusyError, JsonStreamParser
 
 
@@ -29,7 +29,7 @@
     assert len(times) / 60 <= 1.4 * proxies
     for at in range(1, 60):  # and in no second do many more of them fall together
         assert sum(at <= each < at + 1 for each in times) <= 1.4 * proxies + 3 * proxies**0.5
-    assert Backoff(proxies, random.Random(1)).max_delay_s + 2.0 + 2.0 <= TOLD_S - 0.5
+    assert Backoff(proxies, random.Random(1)).max_delay_s + 2.0 + 2.0 <= NOTIFICATION_DEADLINE_S - 0.5
 
 
 def test_an_agent_that_pushes_is_called_again_at_once_however_many_proxies_there_are() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,7 +26,7 @@
     RequestTimedOut,
 )
 from stoatgw.decisions.interface import AttemptStatus, Idempotency, KeyScope, RequestClass
-from stoatgw.sockets import calls
+from stoatgw.sockets import tcp
 from stoatgw.telemetry.log import EventLog
 from tests.controller_harness import ControllerHarness, run_with_harness
 from tests.fleet import settings
@@ -106,7 +106,7 @@
         port = server.sockets[0].getsockname()[1]
         clock, sock = SimpleNamespace(now_us=lambda: 0), Piecewise()
         sock.setblocking(False)
-        monkeypatch.setattr(calls, "make", lambda: sock)
+        monkeypatch.setattr(tcp, "create_socket", lambda: sock)
         fetch = Attempt(Backend("s", "127.0.0.1", port), clock, 10**6, 0, lambda row: (), lambda: None)  # type: ignore[arg-type]
         task = asyncio.create_task(fetch.open(lambda _: LINE, 200_000))
         sock.full = task.cancel if why == "cancel" else lambda: None
@@ -206,7 +206,7 @@
 
     async def test(proxy: LoopbackProxy) -> None:
         proxy.controller._balancer._settings = of(effect)  # type: ignore[attr-defined]
-        monkeypatch.setattr(calls, "make", full)
+        monkeypatch.setattr(tcp, "create_socket", full)
         assert (await rest(await proxy.open_session())).startswith(b"BUSY")
         assert proxy.controller.avoided_servers() == []
         await proxy.wait_until_idle()
@@ -249,7 +249,7 @@
         while not proxy.context.descriptor_limiter._idle_connections:
             await asyncio.sleep(0.01)
         second = await proxy.connect()
-        await calls.readable(first)  # room was wanted: BUSY is there, unread
+        await tcp.wait_readable(first)  # room was wanted: BUSY is there, unread
         await asyncio.sleep(0.02)
         await loop.sock_sendall(first, OPEN % 99)
         await asyncio.sleep(0.02)
--- a/tests/test_director.py
+++ b/tests/test_discovery.py
@@ -18,13 +18,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatgw.backends.backend import GRACE_GUARD_US, BackendRegistry
+from stoatgw.backends.backend import DRAIN_GRACE_MARGIN_US, BackendRegistry
 from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, ConfigError, Deployment, read
 from stoatgw.controller.messages import EndpointsUpdated
 from stoatgw.decisions.interface import Lifecycle
 from stoatgw.discovery import client as watching
-from stoatgw.discovery.backoff import TOLD_S, Backoff
+from stoatgw.discovery.backoff import NOTIFICATION_DEADLINE_S, Backoff
 from stoatgw.discovery.endpoint_list import EndpointListError, EndpointListParser
 from stoatgw.discovery.http import HttpError, JsonObjectSplitter, JsonStreamParser
 from stoatgw.service import main
@@ -124,8 +124,8 @@
     assert backend is not None and backend.accepts_new_sessions(10**9, grace_us)
     assert backends.update(READER.parse_page(page(entry(lifecycle="DRAINING"))).rows, False, 10**9) == [backend]
     assert backends.update(READER.parse_page(page()).rows, True, 2 * 10**9) == []  # told once: the first counts
-    assert backend.accepts_new_sessions(10**9 + grace_us - GRACE_GUARD_US - 1, grace_us)
-    assert not backend.accepts_new_sessions(10**9 + grace_us - GRACE_GUARD_US, grace_us)
+    assert backend.accepts_new_sessions(10**9 + grace_us - DRAIN_GRACE_MARGIN_US - 1, grace_us)
+    assert not backend.accepts_new_sessions(10**9 + grace_us - DRAIN_GRACE_MARGIN_US, grace_us)
 
 
 def test_the_configuration_is_read() -> None:
@@ -261,7 +261,7 @@
 def test_whatever_call_fails_a_change_is_told_in_time(trouble: Answer, pushed: bool) -> None:
     """A change counts as told 6 s after the watch fell silent, also if a call fails then, and 6 s after discovery can
     be reached again; where many ask it, its answer alone may take 2 s of that."""
-    left_s = TOLD_S - (0.0 if pushed else 2.0)
+    left_s = NOTIFICATION_DEADLINE_S - (0.0 if pushed else 2.0)
     for tenths in range(0, 100, 7):
         down_s = tenths / 10
         assert down_s + run(told_after(trouble, down_s, pushed)) <= max(left_s, down_s + 2.0), down_s
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -20,7 +20,7 @@
 from stoatgw.hot_restart.socket_activation import adopt
 from stoatgw.service import run_periodically
 from stoatgw.telemetry.log import EventLog
-from tests.test_director import CONFIG, entry, page
+from tests.test_discovery import CONFIG, entry, page
 from tests.test_reload import discovery, events
 from tests.test_sessions import serve_echo
 
--- a/tests/test_lines.py
+++ b/tests/test_line_protocol.py
@@ -13,12 +13,12 @@
     Keyword,
     MalformedRequest,
     SessionRequest,
-    busy,
+    encode_busy,
     field_pattern,
     parse_reply,
     parse_session_request,
 )
-from stoatgw.line_protocol.splitter import LINE_CAP, LineSplitter
+from stoatgw.line_protocol.splitter import MAX_LINE_BYTES, LineSplitter
 
 LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
@@ -34,8 +34,8 @@
 def test_lines_are_the_same_however_they_are_cut(texts: list[str], places: list[int]) -> None:
     splitter, lines = LineSplitter(), [text.encode() for text in texts]
     data = b"".join(line + b"\r\n" for line in lines) + b"rest"
-    assert [line for part in cut(data, places) for line in splitter.feed(part)] == lines
-    assert splitter.rest == b"rest"
+    assert [line for part in cut(data, places) for line in splitter.receive_data(part)] == lines
+    assert splitter.trailing_data == b"rest"
 
 
 @FIXED
@@ -43,14 +43,14 @@
 def test_the_splitter_keeps_no_more_than_a_line(parts: list[bytes]) -> None:
     splitter = LineSplitter()
     for part in parts:
-        assert all(len(line) < LINE_CAP for line in splitter.feed(part))
-        assert len(splitter.rest) <= LINE_CAP
+        assert all(len(line) < MAX_LINE_BYTES for line in splitter.receive_data(part))
+        assert len(splitter.trailing_data) <= MAX_LINE_BYTES
 
 
 def test_a_line_over_the_cap_is_never_given() -> None:
     splitter = LineSplitter()
-    assert splitter.feed(b"a\r\n" + b"x" * LINE_CAP + b"\r\nb\r\n") == [b"a"]
-    assert splitter.is_overlong and splitter.feed(b"c\r\n") == []
+    assert splitter.receive_data(b"a\r\n" + b"x" * MAX_LINE_BYTES + b"\r\nb\r\n") == [b"a"]
+    assert splitter.is_overlong and splitter.receive_data(b"c\r\n") == []
 
 
 @FIXED
@@ -67,19 +67,19 @@
     changed = LINE[:place] + bytes([byte]) + LINE[place + 1 :]
     opened = parse_session_request(changed)
     if isinstance(opened, SessionRequest):
-        assert opened.forwarded(opened.wait_ms).startswith(b"OPEN ") and len(opened.request_id) == 16
+        assert opened.encode(opened.timeout_ms).startswith(b"OPEN ") and len(opened.request_id) == 16
 
 
 def test_only_d_changes_on_the_way() -> None:
     opened = parse_session_request(LINE + b",again=1,h=3.5,x=y")
     assert isinstance(opened, SessionRequest)
-    assert (opened.class_name, opened.wait_ms, opened.is_returning, opened.is_client_retry) == (
+    assert (opened.class_name, opened.timeout_ms, opened.is_returning, opened.is_client_retry) == (
         "chat",
         2000,
         True,
         False,
     )
-    assert opened.forwarded(750) == LINE.replace(b"d=2000", b"d=750") + b",again=1,h=3.5,x=y\r\n"
+    assert opened.encode(750) == LINE.replace(b"d=2000", b"d=750") + b",again=1,h=3.5,x=y\r\n"
 
 
 @pytest.mark.parametrize(
@@ -114,8 +114,8 @@
     head, fields = LINE.rpartition(b" ")[0], f"c={name},t={name},d=20,g=5c"
     opened = parse_session_request(head + b" " + fields.encode(), field_pattern(ODD))
     assert isinstance(opened, SessionRequest)
-    assert (opened.class_name, opened.tenant, opened.wait_ms) == (name, name, 20)
-    assert opened.forwarded(7) == head + b" " + fields.replace("d=20", "d=7").encode() + b"\r\n"
+    assert (opened.class_name, opened.tenant, opened.timeout_ms) == (name, name, 20)
+    assert opened.encode(7) == head + b" " + fields.replace("d=20", "d=7").encode() + b"\r\n"
 
 
 @pytest.mark.parametrize("name", ["north east", "a,b c", "ører", 'Ticket "open" d=5', "a,b,", "a,,b"])
@@ -130,4 +130,4 @@
     assert parse_reply(b"BUSY inflight=7,util=0.61").load_report == {"inflight": 7, "util": 0.61}
     assert parse_reply(b"UPPER").keyword is Keyword.OTHER
     assert parse_reply(b"BYE a=nan,=3,b,c=1e999,d=2").load_report == {"d": 2}
-    assert (busy(0), busy(1_500_000), busy(1)) == (b"BUSY\r\n", b"BUSY 1500\r\n", b"BUSY 1\r\n")
+    assert (encode_busy(0), encode_busy(1_500_000), encode_busy(1)) == (b"BUSY\r\n", b"BUSY 1500\r\n", b"BUSY 1\r\n")
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,7 +16,7 @@
 from stoatgw.management.routes import Operation, OperationRequest, parse_operation
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
-from tests.test_lines import cut
+from tests.test_line_protocol import cut
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
 DRAIN = b"POST /v1/proxy/drain?why=x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -10,7 +10,7 @@
 import sys
 from pathlib import Path
 
-from tests.test_director import CONFIG, HEAD, entry, page
+from tests.test_discovery import CONFIG, HEAD, entry, page
 
 Asked = asyncio.Queue[bytes]
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -32,7 +32,7 @@
 from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Request, SessionMetricKind
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
-from tests.test_director import CONFIG
+from tests.test_discovery import CONFIG
 
 OPEN = b"OPEN %016x 1 c=chat,d=2000\r\n"
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -338,7 +338,7 @@
         asked = b"line %d" % second
         messages.record_sent([asked], second * 1_000_000)
         messages.record_reply(asked if echoes else b"ok", second * 1_000_000 + 200)
-    assert current_latency_ms([messages], 6_000_200) == 0.2 and not messages.asked
+    assert current_latency_ms([messages], 6_000_200) == 0.2 and not messages.pending
 
 
 def test_a_line_passed_over_is_not_overdue() -> None:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -27,7 +27,7 @@
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.controller_harness import ControllerHarness, run_with_harness
-from tests.test_director import entry, page
+from tests.test_discovery import entry, page
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=200)
 NAMES = st.sampled_from(["a", "b"])
