--- a/stoatgw/backends/backend.py
+++ b/stoatgw/backends/backend.py
@@ -1,4 +1,4 @@
-"""Backends: the session servers that the list has named, and where they are."""
+"""Backends: the session servers that the endpoint list has named, and where they are."""
 
 from __future__ import annotations
 
@@ -7,32 +7,47 @@
 
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
-DRAIN_GRACE_MARGIN_US = 100_000  # a first byte leaves so long before the drain grace ends, at the latest
+DRAIN_GRACE_MARGIN_US = 100_000  # a request's first byte is sent so long before the drain grace ends, at the latest
+
+
+@dataclass(frozen=True, slots=True)
+class ListedEndpoint:
+    """An entry of the endpoint list: the endpoint as the decisions know it, and its address."""
+
+    endpoint: Endpoint
+    host: str
+    port: int
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
+    """A session server, as long as this process knows it."""
+
     name: str
     host: str
     port: int
-    draining_since_us: int | None = None  # when this proxy was told that it drains or is gone
+    draining_since_us: int | None = None  # when this proxy was notified that it drains or is gone
 
     @property
     def address(self) -> tuple[bytes, int]:
         """For connecting: given as text, a host goes through the idna codec each time, a quarter of a connect."""
         return self.host.encode(), self.port
 
-    def accepts_new_sessions(self, now_us: int, grace_us: int) -> bool:
-        return self.draining_since_us is None or now_us < self.draining_since_us + grace_us - DRAIN_GRACE_MARGIN_US
+    def accepts_new_sessions(self, now_us: int, drain_grace_us: int) -> bool:
+        """Whether a request may still be sent: the backend is active, or its drain grace has not ended."""
+        if self.draining_since_us is None:
+            return True
+        return now_us < self.draining_since_us + drain_grace_us - DRAIN_GRACE_MARGIN_US
 
 
 class BackendRegistry:
-    """All backends by name. One that is gone is kept: connections may stand on it still."""
+    """All backends by name. One that is gone is kept: sessions may be established on it still."""
 
     def __init__(self) -> None:
         self._backends: dict[str, Backend] = {}
 
     def get(self, name: str) -> Backend | None:
+        """Return the backend of that name, None if it was never listed."""
         return self._backends.get(name)
 
     @property
@@ -40,22 +55,30 @@
         """Whether any was ever listed: before that nothing can be served."""
         return bool(self._backends)
 
-    def update(self, rows: Iterable[tuple[Endpoint, str, int]], whole: bool, now_us: int) -> list[Backend]:
-        """Take news of the list; gives the backends that are leaving since."""
-        left: list[Backend] = []
-        seen = set()
-        for entry, host, port in rows:
-            seen.add(entry.name)
-            backend = self._backends.setdefault(entry.name, Backend(entry.name, host, port))
-            backend.host, backend.port = host, port
-            if entry.lifecycle is Lifecycle.ACTIVE:
+    def update(self, entries: Iterable[ListedEndpoint], *, is_snapshot: bool, now_us: int) -> list[Backend]:
+        """Apply entries of the endpoint list; return the backends that are draining or gone from now on.
+
+        Args:
+            entries: The entries, with overrides applied.
+            is_snapshot: Whether they are the full list: a backend that is missing from it is gone.
+            now_us: When the update arrived.
+        """
+        newly_draining: list[Backend] = []
+        listed_names = set()
+        for listed in entries:
+            endpoint = listed.endpoint
+            listed_names.add(endpoint.name)
+            backend = self._backends.setdefault(endpoint.name, Backend(endpoint.name, listed.host, listed.port))
+            backend.host = listed.host
+            backend.port = listed.port
+            if endpoint.lifecycle is Lifecycle.ACTIVE:
                 backend.draining_since_us = None
             elif backend.draining_since_us is None:
                 backend.draining_since_us = now_us
-                left.append(backend)
-        if whole:
+                newly_draining.append(backend)
+        if is_snapshot:
             for backend in self._backends.values():
-                if backend.name not in seen and backend.draining_since_us is None:
+                if backend.name not in listed_names and backend.draining_since_us is None:
                     backend.draining_since_us = now_us
-                    left.append(backend)
-        return left
+                    newly_draining.append(backend)
+        return newly_draining
--- a/stoatgw/discovery/backoff.py
+++ b/stoatgw/discovery/backoff.py
@@ -1,48 +1,75 @@
-"""When to call discovery again: pure, randomness handed in.
+"""When to call discovery again: pure, with the random generator handed in.
 
-What discovery has to tell counts as told within 6 s, whatever call failed or was turned away: no wait may be longer
-than what is left of that beside the calls themselves. Where discovery is asked, all proxies may lose their watch in
-the same moment, and one that has more calls than it can answer answers hardly any: many proxies therefore wait a
-random part of a span that doubles. Where lists are pushed, an agent on our own machine answers, at no cost.
+A change counts as notified 6 s after discovery had it, whatever call failed or was rejected: no delay may be longer
+than what the calls themselves leave of that. Where discovery is polled, all proxies may lose their watch in the
+same moment, and a server that gets more calls than it can answer answers hardly any: in a large fleet each proxy
+therefore draws its delay from a range that doubles. Where lists are pushed, an agent on the proxy's own machine
+answers, at no cost.
 """
 
 from __future__ import annotations
 
 import random
 
-NOTIFICATION_DEADLINE_S = 6.0  # by then a change counts as told
-FIRST_S, PUSHED_MOST_S, ASKED_MOST_S = 0.1, 0.4, 1.0
-BUSY_PART = 2  # a discovery that says it is busy is spared at least this part of the longest wait
-FEW = 8  # so many proxies begin at once; more of them spread their first calls
-SPREAD_EACH_S, SPREAD_MOST_S = 0.025, 2.0  # well within the time after which all counts as told
-JITTER = 0.5
+NOTIFICATION_DEADLINE_S = 6.0
+"""A change counts as notified so long after discovery had it."""
+
+INITIAL_DELAY_S = 0.1
+MAX_PUSHED_DELAY_S = 0.4
+MAX_POLLED_DELAY_S = 1.0
+PUSHED_RESPONSE_TIMEOUT_S = 1.0  # an agent answers at once
+POLLED_RESPONSE_TIMEOUT_S = 1.4  # discovery, polled by a large fleet, answers within 2 s
+OVERLOAD_DELAY_DIVISOR = 2  # an overloaded discovery is spared at least this part of the longest delay
+SMALL_FLEET_PROXIES = 8  # so many proxies call at once; a larger fleet spreads its first calls
+SPREAD_PER_PROXY_S = 0.025
+MAX_SPREAD_S = 2.0  # well within NOTIFICATION_DEADLINE_S
+JITTER_FRACTION = 0.5
 
 
 class Backoff:
-    """Waits in seconds, for one proxy among `proxies`; `pushed`: an agent of its own tells it the list."""
+    """The delays between one proxy's calls to discovery, in seconds."""
+
+    def __init__(self, proxies: int, rng: random.Random, *, pushed: bool = False) -> None:
+        """Start with the shortest delay.
 
-    def __init__(self, proxies: int, chance: random.Random, *, pushed: bool = False) -> None:
-        self._chance = chance
-        self._many = proxies > FEW and not pushed
-        self._spread_s = min(SPREAD_MOST_S, SPREAD_EACH_S * proxies)
-        self._most_s = PUSHED_MOST_S if pushed else ASKED_MOST_S
-        self._span_s = FIRST_S
+        Args:
+            proxies: How many proxies the fleet has.
+            rng: Where jitter is drawn from.
+            pushed: Whether an agent on this machine pushes the list, instead of discovery being polled by the fleet.
+        """
+        self._rng = rng
+        self._is_jittered = proxies > SMALL_FLEET_PROXIES and not pushed
+        self._spread_s = min(MAX_SPREAD_S, SPREAD_PER_PROXY_S * proxies)
+        self._max_base_delay_s = MAX_PUSHED_DELAY_S if pushed else MAX_POLLED_DELAY_S
+        self._base_delay_s = INITIAL_DELAY_S
+        self.response_timeout_s = PUSHED_RESPONSE_TIMEOUT_S if pushed else POLLED_RESPONSE_TIMEOUT_S
+        """A call without an answer for so long gets another one beside it."""
 
     @property
     def max_delay_s(self) -> float:
-        return self._most_s * (1 + JITTER) if self._many else self._most_s
+        """The longest delay that `next_delay_s` may return."""
+        if self._is_jittered:
+            return self._max_base_delay_s * (1 + JITTER_FRACTION)
+        return self._max_base_delay_s
 
     def initial_delay_s(self) -> float:
-        """Before the first call, where a last copy of the list is at hand."""
-        return self._chance.random() * self._spread_s if self._many else 0.0
+        """Return the delay before the first call, for a proxy that has a cached list to begin with."""
+        return self._rng.random() * self._spread_s if self._is_jittered else 0.0
 
     def reset(self) -> None:
-        """Discovery has told something: the next trouble is a new one."""
-        self._span_s = FIRST_S
-
-    def next_delay_s(self, *, busy: bool = False) -> float:
-        """After a call that failed or a watch that ended; `busy`: discovery turned the call away."""
-        if busy:
-            self._span_s = max(self._span_s, self._most_s / BUSY_PART)
-        span_s, self._span_s = self._span_s, min(self._most_s, 2 * self._span_s)
-        return span_s * self._chance.uniform(1 - JITTER, 1 + JITTER) if self._many else span_s
+        """Begin with the shortest delay again: a call has succeeded."""
+        self._base_delay_s = INITIAL_DELAY_S
+
+    def next_delay_s(self, *, overloaded: bool = False) -> float:
+        """Return the delay after a call that failed or ended, and double the next one.
+
+        Args:
+            overloaded: Whether discovery rejected the call because it has too much to do.
+        """
+        if overloaded:
+            self._base_delay_s = max(self._base_delay_s, self._max_base_delay_s / OVERLOAD_DELAY_DIVISOR)
+        delay_s = self._base_delay_s
+        self._base_delay_s = min(self._max_base_delay_s, 2 * delay_s)
+        if self._is_jittered:
+            return delay_s * self._rng.uniform(1 - JITTER_FRACTION, 1 + JITTER_FRACTION)
+        return delay_s
--- a/stoatgw/discovery/endpoint_list.py
+++ b/stoatgw/discovery/endpoint_list.py
@@ -1,75 +1,91 @@
-"""Discovery's list: its objects into entries of the list. No sockets."""
+"""Discovery's objects parsed into pages of the endpoint list. No sockets."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any
 
-from stoatgw.config.deployment import ConfigError, read_address
+from stoatgw.backends.backend import ListedEndpoint
+from stoatgw.config.deployment import Address, ConfigError, read_address
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
-STATES = {"SERVING": Lifecycle.ACTIVE, "DRAINING": Lifecycle.DRAINING, "DELETED": Lifecycle.REMOVED}
-
-
-Row = tuple[Endpoint, str, int]  # an entry, and where it is
+LIFECYCLES = {"SERVING": Lifecycle.ACTIVE, "DRAINING": Lifecycle.DRAINING, "DELETED": Lifecycle.REMOVED}
+UNKNOWN_INDEX = -1  # of a zone or machine kind that the settings do not name
+MAX_NUMBER = 2**53
 
 
 class EndpointListError(ValueError):
-    """An object of the list cannot be read; the message names the field."""
+    """An object of the list cannot be parsed; the message names the field. Discovery's fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListPage:
-    """One object of the list: the whole of it, or what changed."""
+    """One object of the list: a full snapshot, or what changed since the version before."""
 
     version: int
     is_complete: bool
-    rows: tuple[Row, ...]
+    entries: tuple[ListedEndpoint, ...]
 
 
 class EndpointListParser:
-    def __init__(self, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
+    """Parses decoded JSON into pages, with zones and machine kinds as indices into the settings' lists."""
+
+    def __init__(self, zones: tuple[str, ...], machine_kinds: tuple[str, ...]) -> None:
         self._zones = {name: index for index, name in enumerate(zones)}
-        self._kinds = {name: index for index, name in enumerate(kinds)}
+        self._machine_kinds = {name: index for index, name in enumerate(machine_kinds)}
 
     def parse_page(self, data: Any) -> EndpointListPage:
+        """Parse one object of the list.
+
+        Raises:
+            EndpointListError: A field is missing or of the wrong type.
+        """
         if not isinstance(data, dict):
             raise EndpointListError("not an object")
         instances = data.get("instances")
         if not isinstance(instances, list):
             raise EndpointListError("instances: not a list")
-        whole = data.get("reset", False)
-        if not isinstance(whole, bool):
+        is_complete = data.get("reset", False)
+        if not isinstance(is_complete, bool):
             raise EndpointListError("reset: not a bool")
-        version = int(_number(data, "generation", 0))
-        return EndpointListPage(version, whole, tuple(self._row(item) for item in instances))
+        version = int(_parse_number(data, "generation", 0))
+        return EndpointListPage(version, is_complete, tuple(self._parse_entry(item) for item in instances))
 
-    def _row(self, item: Any) -> Row:
+    def _parse_entry(self, item: Any) -> ListedEndpoint:
         if not isinstance(item, dict):
             raise EndpointListError("instances: an entry is no object")
-        name, state = item.get("instanceId"), item.get("lifecycle")
+        name = item.get("instanceId")
         if not isinstance(name, str) or not name:
             raise EndpointListError("instanceId: missing")
-        if not isinstance(state, str) or state not in STATES:
-            raise EndpointListError(f"lifecycle: {str(state)[:40]!r} is unknown")
-        try:
-            address = read_address(str(item.get("hostPort")), "hostPort")
-        except ConfigError as error:
-            raise EndpointListError(str(error)) from None
-        entry = Endpoint(
+        lifecycle = _parse_lifecycle(item.get("lifecycle"))
+        address = _parse_address(item.get("hostPort"))
+        endpoint = Endpoint(
             name=name,
-            lifecycle=STATES[state],
-            zone=self._zones.get(str(item.get("zone")), -1),
-            cell=int(_number(item, "cell", 0)),
-            machine_kind=self._kinds.get(str(item.get("machineType")), -1),
-            weight=float(_number(item, "weight", 1.0)),
-            started_us=int(_number(item, "startedAtMs", 0) * 1000),
+            lifecycle=lifecycle,
+            zone=self._zones.get(str(item.get("zone")), UNKNOWN_INDEX),
+            cell=int(_parse_number(item, "cell", 0)),
+            machine_kind=self._machine_kinds.get(str(item.get("machineType")), UNKNOWN_INDEX),
+            weight=float(_parse_number(item, "weight", 1.0)),
+            started_us=int(_parse_number(item, "startedAtMs", 0) * 1000),
         )
-        return entry, address.host, address.port
+        return ListedEndpoint(endpoint, address.host, address.port)
+
+
+def _parse_lifecycle(value: Any) -> Lifecycle:
+    if not isinstance(value, str) or value not in LIFECYCLES:
+        raise EndpointListError(f"lifecycle: {str(value)[:40]!r} is unknown")
+    return LIFECYCLES[value]
+
+
+def _parse_address(value: Any) -> Address:
+    try:
+        return read_address(str(value), "hostPort")
+    except ConfigError as error:
+        raise EndpointListError(str(error)) from error
 
 
-def _number(item: dict[str, Any], field: str, default: float) -> float:
+def _parse_number(item: dict[str, Any], field: str, default: float) -> float:
     value = item.get(field, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < 2**53:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < MAX_NUMBER:
         raise EndpointListError(f"{field}: no number")
     return float(value)
--- a/stoatgw/discovery/http.py
+++ b/stoatgw/discovery/http.py
@@ -1,4 +1,4 @@
-"""HTTP answers into the JSON objects of their body. No sockets."""
+"""An HTTP response parsed into the JSON objects of its body. No sockets."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 
 import httptools
 
-OBJECT_CAP = 4 * 1024 * 1024
-_MARKS = re.compile(rb'[{}\[\]"]')
-_STRING_MARKS = re.compile(rb'["\\]')
+MAX_OBJECT_BYTES = 4 * 1024 * 1024
+HTTP_OK = 200
+OVERLOADED_STATUSES = (429, 503)
+_STRUCTURAL = re.compile(rb'[{}\[\]"]')
+_QUOTE_OR_ESCAPE = re.compile(rb'["\\]')
 
 
 class HttpError(ValueError):
-    """The answer is no HTTP, or not the one wanted."""
+    """The response is not HTTP, or not the one asked for. The server's fault."""
 
 
 class HttpBusyError(HttpError):
@@ -20,111 +22,128 @@
 
 
 class JsonObjectSplitter:
-    """Bytes into whole JSON objects, however they are cut or indented; an empty line between two gives b"".
+    """Splits a stream of bytes into JSON objects, however it was cut or indented; an empty line between two gives b"".
 
-    Only nesting and strings are followed: what is wrong within an object shows when it is read.
+    Only nesting and strings are followed: an error within an object shows when the object is decoded.
     """
 
-    def __init__(self, cap: int = OBJECT_CAP) -> None:
-        self._cap, self._held = cap, bytearray()
-        self._depth, self._in_string, self._at = 0, False, 0  # `_at`: looked at up to there
-        self.overlong = False  # an object went over the cap: nothing more is read
+    def __init__(self, max_object_bytes: int = MAX_OBJECT_BYTES) -> None:
+        self._max_object_bytes = max_object_bytes
+        self._buffer = bytearray()
+        self._position = 0  # the bytes before it have been scanned
+        self._depth = 0
+        self._in_string = False
+        self.is_overlong = False
+        """An object exceeded the limit: nothing more is read."""
 
     @property
-    def rest(self) -> bytes:
-        """What came after the last whole object, blanks apart."""
-        return bytes(self._held).strip()
+    def trailing_data(self) -> bytes:
+        """What came after the last complete object, blanks apart."""
+        return bytes(self._buffer).strip()
 
-    def feed(self, data: bytes) -> list[bytes]:
-        if self.overlong:
+    def receive_data(self, data: bytes) -> list[bytes]:
+        """Take bytes in and return the objects that they complete."""
+        if self.is_overlong:
             return []
-        self._held += data
-        found: list[bytes] = []
-        while (end := self._object_end()) is not None:
-            found.append(bytes(self._held[:end]).strip())
-            del self._held[:end]
-            self._at = 0
-        if len(self._held) > self._cap:  # guards against an object without end: memory stays bounded
-            self.overlong = True
-            self._held.clear()
-        return found
-
-    def _object_end(self) -> int | None:
-        """Where the next object or empty line ends, if it has come; goes on where the last look ended."""
-        held = self._held
-        while True:
-            if self._in_string:
-                mark = _STRING_MARKS.search(held, self._at)
-                if mark is None:
-                    self._at = len(held)
+        self._buffer += data
+        objects: list[bytes] = []
+        while (end := self._find_end()) is not None:
+            objects.append(bytes(self._buffer[:end]).strip())
+            del self._buffer[:end]
+            self._position = 0
+        if len(self._buffer) > self._max_object_bytes:  # an object without end must not fill the memory
+            self.is_overlong = True
+            self._buffer.clear()
+        return objects
+
+    def _find_end(self) -> int | None:
+        """Return where the next object, or line between two objects, ends; None until that has arrived."""
+        while not self._in_string or self._skip_string():
+            # Between objects, a line's end is the end of whatever precedes it: nothing, or something that is no object.
+            newline = self._buffer.find(b"\n", self._position) if self._depth == 0 else -1
+            limit = newline if newline >= 0 else len(self._buffer)
+            mark = _STRUCTURAL.search(self._buffer, self._position, limit)
+            if mark is None:
+                self._position = limit
+                if newline < 0:
                     return None
-                if mark.group() == b'"':
-                    self._in_string, self._at = False, mark.end()
-                elif mark.end() < len(held):
-                    self._at = mark.end() + 1
-                else:  # what it escapes has not come yet
-                    self._at = mark.start()
-                    return None
-                continue
-            if self._depth == 0:
-                # Between objects a line ends what stands there: nothing, or what is no object.
-                line = held.find(b"\n", self._at)
-                mark = _MARKS.search(held, self._at, line if line >= 0 else len(held))
-                if mark is None:
-                    self._at = len(held)
-                    if line < 0:
-                        return None
-                    self._at = line + 1
-                    return line + 1
-            else:
-                mark = _MARKS.search(held, self._at)
-                if mark is None:
-                    self._at = len(held)
-                    return None
-            self._at = mark.end()
+                self._position += 1
+                return self._position
+            self._position = mark.end()
+            if self._closes_object(mark.group()):
+                return self._position
+        return None
+
+    def _skip_string(self) -> bool:
+        """Advance past the end of the string; False if its end has not arrived."""
+        while (mark := _QUOTE_OR_ESCAPE.search(self._buffer, self._position)) is not None:
             if mark.group() == b'"':
-                self._in_string = True
-            elif mark.group() in b"{[":
-                self._depth += 1
-            else:
-                self._depth = max(0, self._depth - 1)
-                if self._depth == 0:
-                    return mark.end()
+                self._in_string = False
+                self._position = mark.end()
+                return True
+            if mark.end() == len(self._buffer):  # the escaped byte has not arrived
+                self._position = mark.start()
+                return False
+            self._position = mark.end() + 1
+        self._position = len(self._buffer)
+        return False
+
+    def _closes_object(self, mark: bytes) -> bool:
+        """Follow one structural byte; True if it ends an outermost object."""
+        if mark == b'"':
+            self._in_string = True
+            return False
+        if mark in b"{[":
+            self._depth += 1
+            return False
+        self._depth = max(0, self._depth - 1)
+        return self._depth == 0
 
 
 class JsonStreamParser:
-    """Feeds an HTTP answer to httptools; gives the body's objects, and b"" for an empty line."""
+    """Parses an HTTP response; gives the objects of its body, and b"" for an empty line."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._objects = JsonObjectSplitter()
-        self._found: list[bytes] = []
-        self._status = 200
-        self.done = False
+        self._splitter = JsonObjectSplitter()
+        self._objects: list[bytes] = []
+        self._status = HTTP_OK
+        self.is_complete = False
+        """The response has ended."""
+
+    def receive_data(self, data: bytes) -> list[bytes]:
+        """Take bytes in and return the objects that they complete.
+
+        Raises:
+            HttpBusyError: The server has too much to do.
+            HttpError: The bytes are no HTTP, the status is not 200, or an object exceeds the limit.
+        """
+        try:
+            self._parser.feed_data(data)
+        except httptools.HttpParserError as error:
+            raise HttpError(str(error) or "no HTTP") from error
+        if self._status in OVERLOADED_STATUSES:
+            raise HttpBusyError(f"status {self._status}")
+        if self._status != HTTP_OK:
+            raise HttpError(f"status {self._status}")
+        if self._splitter.is_overlong:
+            raise HttpError("an object over the cap")
+        objects = self._objects
+        self._objects = []
+        return objects
+
+    # Called back by httptools.
 
     def on_headers_complete(self) -> None:
-        # Not before: a status line cut in its middle shows as a shorter number.
+        """Note the status: not before, since a status line cut in its middle shows as a shorter number."""
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        self._found += self._objects.feed(body)
+        """Split a piece of the body."""
+        self._objects += self._splitter.receive_data(body)
 
     def on_message_complete(self) -> None:
-        if self._objects.rest:
-            self._found.append(self._objects.rest)  # cut short: told as a bad object
-        self.done = True
-
-    def feed(self, data: bytes) -> list[bytes]:
-        """Raises HttpError, HttpBusyError."""
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserError as error:
-            raise HttpError(str(error) or "no HTTP") from None
-        if self._status in (429, 503):
-            raise HttpBusyError(f"status {self._status}")
-        if self._status != 200:
-            raise HttpError(f"status {self._status}")
-        if self._objects.overlong:
-            raise HttpError("an object over the cap")
-        found, self._found = self._found, []
-        return found
+        """Give an object that was cut short as it is: its decoding fails."""
+        if self._splitter.trailing_data:
+            self._objects.append(self._splitter.trailing_data)
+        self.is_complete = True
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -12,7 +12,7 @@
 
 import numpy as np
 
-from stoatgw.backends.backend import BackendRegistry
+from stoatgw.backends.backend import BackendRegistry, ListedEndpoint
 from stoatgw.clock import Clock
 from stoatgw.config.settings import flatten, read_settings
 from stoatgw.controller.controller import Controller
@@ -255,8 +255,8 @@
         for row in rows:
             started_us = row.started_us - self.realm.start_us if row.started_us else 0
             self.realm.log(EventKind.TOLD, proxy.name, server=row.server, number=started_us, detail=row.lifecycle)
-        listed = [(entry, entry.name, 0) for entry in entries]
-        proxy.backends.update(listed, whole, self.kernel.now_us())
+        listed = [ListedEndpoint(entry, entry.name, 0) for entry in entries]
+        proxy.backends.update(listed, is_snapshot=whole, now_us=self.kernel.now_us())
         kind = EndpointUpdateKind.SNAPSHOT if whole else EndpointUpdateKind.DELTA
         proxy.owner.post(EndpointsUpdated(EndpointUpdate(kind, 0, entries)))
 
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -100,7 +100,7 @@
     def _begin_later(self) -> None:
         now_us, known = self._context.clock.now_us(), self._context.backends.has_endpoints
         alone = not any(peer.is_accepting for peer in self._others)  # whoever served has gone: nobody does now
-        if (alone and known) or may_begin(self._own.since_us, self._director.first_update_us, known, now_us):
+        if (alone and known) or may_begin(self._own.since_us, self._director.publisher.first_update_us, known, now_us):
             self._log.event("accepting_taken_over", others=len(self._others))
             self._take_clients()
 
--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -58,5 +58,5 @@
                 entry.lifecycle is Lifecycle.ACTIVE,
                 entry.started_us // 1000,
             )
-            for entry in self._director.endpoints()
+            for entry in self._director.publisher.endpoints()
         }
--- a/stoatgw/management/operations.py
+++ b/stoatgw/management/operations.py
@@ -45,7 +45,7 @@
             case Operation.METRICS:
                 figures = self._context.metrics
                 return HttpResponse(
-                    200, figures.render(self._director.endpoint_count, len(self._owner.avoided_servers()))
+                    200, figures.render(self._director.publisher.endpoint_count, len(self._owner.avoided_servers()))
                 )
             case Operation.SUSPEND | Operation.RESUME:
                 return self._change(order)
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -28,8 +28,9 @@
 from stoatgw.controller.migrations import MigrationPlanner
 from stoatgw.decisions.interface import Settings
 from stoatgw.discovery.backoff import Backoff
-from stoatgw.discovery.client import ASKED_ANSWER_S, PUSHED_ANSWER_S, DiscoveryClient
+from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.discovery.endpoint_list import EndpointListParser
+from stoatgw.discovery.publisher import EndpointPublisher
 from stoatgw.suspension.overrides import EndpointOverrides
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
@@ -62,7 +63,7 @@
         self._prober.close(server)
 
     def fetch_endpoints(self) -> None:
-        self._director.publish_all()
+        self._director.publisher.publish_all()
 
 
 class Reload:
@@ -129,22 +130,24 @@
             owner,
             log,
             lambda name: backstage.check_health_now(name),  # noqa: PLW0108 (it comes later)
-            lambda: [entry.name for entry in director.endpoints()],
+            lambda: [entry.name for entry in director.publisher.endpoints()],
         )
     prober = HealthChecker(sharing or owner, clock, columns, deployment.dial_timeout_us, counters)
     overlay = EndpointOverrides()
     director = DiscoveryClient(
         deployment.discovery,
         EndpointListParser(deployment.zones, deployment.kinds),
-        backends,
-        owner,
-        clock,
-        lambda backend: prober.close(backend.name),
+        EndpointPublisher(
+            backends,
+            owner,
+            clock,
+            log,
+            on_draining=lambda backend: prober.close(backend.name),
+            override=overlay.apply,
+        ),
+        Backoff(settings.balancers, random.Random(deployment.seed), pushed=not settings.must_subscribe),
         log,
         counters,
-        Backoff(settings.balancers, random.Random(deployment.seed), pushed=not settings.must_subscribe),
-        ASKED_ANSWER_S if settings.must_subscribe else PUSHED_ANSWER_S,
-        overlay.apply,
     )
     room = DescriptorLimiter(deployment.sockets - (CALLERS_KEPT if deployment.management else 0))
     context = ProxyContext(deployment, owner, backends, clock, columns.to_row, counters, log, room)
--- a/stoatgw/sockets/tcp.py
+++ b/stoatgw/sockets/tcp.py
@@ -1,4 +1,4 @@
-"""The few socket calls that all connections share."""
+"""TCP sockets for asyncio: created, accepted, written and closed the way all connections here need it."""
 
 from __future__ import annotations
 
@@ -6,22 +6,34 @@
 import contextlib
 import socket
 import struct
+from collections.abc import Iterator
 
-SCRAP_MOST = 1024 * 1024  # bytes read and thrown away at a connection's end
-_SCRAP = bytearray(65536)  # shared by all: nobody looks at what is in it
 ACCEPT_RETRY_INTERVAL_S = 0.02  # after a failed accept, such as one for want of descriptors
-_RESET = struct.pack("ii", 1, 0)
+MAX_DISCARDED_BYTES = 1024 * 1024  # read and thrown away at a connection's end
+_DISCARD_BUFFER = bytearray(65536)  # shared by all: nobody looks at what is in it
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 def create_socket() -> socket.socket:
+    """Create a non-blocking socket for connecting. Raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
+@contextlib.contextmanager
+def open_socket() -> Iterator[socket.socket]:
+    """Create a socket for connecting, and close it at the end of the block. Raises OSError."""
+    sock = create_socket()
+    try:
+        yield sock
+    finally:
+        close(sock)
+
+
 def create_listener(address: tuple[str, int], backlog: int) -> socket.socket:
-    """A listening socket of our own. Raises OSError."""
+    """Create a listening socket. Raises OSError."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -37,87 +49,96 @@
 async def wait_readable(sock: socket.socket) -> None:
     """Wait until there is something to read or to accept; nothing is taken from the socket.
 
-    The loop's own sock_accept would lose what it had accepted if it were cancelled in the same turn.
+    The loop's own sock_accept would lose what it had accepted if it were cancelled in the same iteration.
     """
-    loop, woken = asyncio.get_running_loop(), asyncio.Event()
-    loop.add_reader(sock.fileno(), woken.set)
+    loop = asyncio.get_running_loop()
+    ready = asyncio.Event()
+    loop.add_reader(sock.fileno(), ready.set)
     try:
-        await woken.wait()
+        await ready.wait()
     finally:
         loop.remove_reader(sock.fileno())
 
 
+async def _wait_writable(sock: socket.socket) -> None:
+    loop = asyncio.get_running_loop()
+    ready = asyncio.Event()
+    loop.add_writer(sock.fileno(), ready.set)
+    try:
+        await ready.wait()
+    finally:
+        loop.remove_writer(sock.fileno())
+
+
 async def send_all(sock: socket.socket, data: bytes) -> None:
-    """Send all; whoever is cancelled or raises in here has not sent the last byte. Raises OSError.
+    """Send all; a caller that is cancelled or gets an exception in here has not sent the last byte. Raises OSError.
 
-    The loop's own sock_sendall may write it in one turn and tell of it in the next: a time-out between the two
-    would take a line that may run for one that never ran.
+    The loop's own sock_sendall may write in one iteration and return in the next: a timeout between the two
+    would make a line that may run look like one that never ran.
     """
-    loop, left = asyncio.get_running_loop(), memoryview(data)
+    unsent = memoryview(data)
     while True:
         with contextlib.suppress(BlockingIOError, InterruptedError):
-            left = left[sock.send(left) :]
-        if not left:
+            unsent = unsent[sock.send(unsent) :]
+        if not unsent:
             return
-        woken = asyncio.Event()
-        loop.add_writer(sock.fileno(), woken.set)
-        try:
-            await woken.wait()
-        finally:
-            loop.remove_writer(sock.fileno())
+        await _wait_writable(sock)
 
 
-async def accept(sock: socket.socket) -> socket.socket:
-    """The next connection, ready for use; one that another process took first is waited for anew. Raises OSError."""
+async def accept(listener: socket.socket) -> socket.socket:
+    """Wait for the next connection, and again if another process accepted it first. Raises OSError."""
     while True:
-        await wait_readable(sock)
+        await wait_readable(listener)
         with contextlib.suppress(BlockingIOError, InterruptedError):
-            return accept_nowait(sock)
+            return accept_nowait(listener)
 
 
-def accept_nowait(sock: socket.socket) -> socket.socket:
-    """A connection that waits to be accepted, ready for use. Raises OSError, BlockingIOError where none does."""
-    peer, _ = sock.accept()
-    peer.setblocking(False)
-    with contextlib.suppress(OSError):  # it has gone already, which its first read will tell
-        peer.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return peer
+def accept_nowait(listener: socket.socket) -> socket.socket:
+    """Accept a connection that is waiting. Raises OSError, BlockingIOError where there is none."""
+    sock, _ = listener.accept()
+    sock.setblocking(False)
+    with contextlib.suppress(OSError):  # the peer has gone already, as the first read will show
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return sock
 
 
 def close(sock: socket.socket, *, reset: bool = False) -> None:
-    """Close at once, with FIN or, if asked, with RST."""
+    """Close at once, with FIN or, if asked, with RST. Never raises."""
     with contextlib.suppress(OSError):
         if reset:
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
     with contextlib.suppress(OSError):
         sock.close()
 
 
-async def close_gracefully(sock: socket.socket, line: bytes, wait_s: float, most_bytes: int = SCRAP_MOST) -> None:
-    """Send a last line, end our side, and close when the peer has ended its own.
+async def close_gracefully(
+    sock: socket.socket, last_line: bytes, timeout_s: float, max_discarded_bytes: int = MAX_DISCARDED_BYTES
+) -> None:
+    """Send a last line, shut down sending, and close when the peer has done the same. Never raises OSError.
 
-    A plain close with bytes unread would reset the connection and could take the line with it. But a peer
-    that sends without end is worth only so many bytes and so much time.
+    A plain close over unread bytes would reset the connection, which could take the line with it. But a peer
+    that sends without end gets only so many bytes and so much time.
     """
-    loop, left = asyncio.get_running_loop(), most_bytes
+    loop = asyncio.get_running_loop()
+    remaining_bytes = max_discarded_bytes
     try:
-        async with asyncio.timeout(wait_s):
-            if line:
-                await loop.sock_sendall(sock, line)
+        async with asyncio.timeout(timeout_s):
+            if last_line:
+                await loop.sock_sendall(sock, last_line)
             sock.shutdown(socket.SHUT_WR)
-            while left > 0 and (count := await loop.sock_recv_into(sock, _SCRAP)):
-                left -= count
+            while remaining_bytes > 0 and (count := await loop.sock_recv_into(sock, _DISCARD_BUFFER)):
+                remaining_bytes -= count
     except (OSError, TimeoutError):
         pass
     finally:
         close(sock)
 
 
-def send_and_close(sock: socket.socket, line: bytes) -> None:
-    """A last line and the end at once, for a connection that there is no room to wait for."""
+def send_and_close(sock: socket.socket, last_line: bytes) -> None:
+    """Send a last line and close at once, where no descriptor can be spared for a graceful close. Never raises."""
     with contextlib.suppress(OSError):
-        sock.send(line)
-        for _ in range(SCRAP_MOST // len(_SCRAP)):  # unread, it would turn the end into a reset
-            if not sock.recv_into(_SCRAP):
+        sock.send(last_line)
+        for _ in range(MAX_DISCARDED_BYTES // len(_DISCARD_BUFFER)):  # unread bytes would turn the close into a reset
+            if not sock.recv_into(_DISCARD_BUFFER):
                 break
     close(sock)
--- a/stoatgw/suspension/applier.py
+++ b/stoatgw/suspension/applier.py
@@ -29,4 +29,4 @@
         for name in back:
             self._log.event("server_resumed", backend=name)
             self._owner.post(EvacuateServer(name, False))
-        self._director.republish([*out, *back])
+        self._director.publisher.republish([*out, *back])
--- a/stoatgw/suspension/service.py
+++ b/stoatgw/suspension/service.py
@@ -31,7 +31,7 @@
 
     def has_server(self, name: str) -> bool:
         """Whether there is such a session server, in the list or out by hand."""
-        return self._director.has_endpoint(name) or name in self._overlay.suspensions
+        return self._director.publisher.has_endpoint(name) or name in self._overlay.suspensions
 
     def suspend(self, name: str) -> str:
         """Out from now on; gives why that would not outlive this process, if so."""
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -15,7 +15,7 @@
     times = []
     for place in range(proxies):
         backoff, at_s = Backoff(proxies, random.Random(place)), 0.0
-        while (at_s := at_s + backoff.next_delay_s(busy=busy)) < until_s:
+        while (at_s := at_s + backoff.next_delay_s(overloaded=busy)) < until_s:
             times.append(at_s)
     return sorted(times)
 
@@ -35,7 +35,7 @@
 def test_an_agent_that_pushes_is_called_again_at_once_however_many_proxies_there_are() -> None:
     backoff = Backoff(200, random.Random(1), pushed=True)
     assert backoff.initial_delay_s() == 0.0
-    assert [backoff.next_delay_s(busy=busy) for busy in (False, True, True, True)] == [0.1, 0.2, 0.4, 0.4]
+    assert [backoff.next_delay_s(overloaded=busy) for busy in (False, True, True, True)] == [0.1, 0.2, 0.4, 0.4]
 
 
 def test_nothing_is_in_step() -> None:
@@ -62,4 +62,4 @@
 
 def test_a_busy_answer_is_told_from_others() -> None:
     with pytest.raises(HttpBusyError):
-        JsonStreamParser().feed(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
+        JsonStreamParser().receive_data(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,10 +23,11 @@
 from stoatgw.config.deployment import Address, ConfigError, Deployment, read
 from stoatgw.controller.messages import EndpointsUpdated
 from stoatgw.decisions.interface import Lifecycle
-from stoatgw.discovery import client as watching
 from stoatgw.discovery.backoff import NOTIFICATION_DEADLINE_S, Backoff
+from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.discovery.endpoint_list import EndpointListError, EndpointListParser
 from stoatgw.discovery.http import HttpError, JsonObjectSplitter, JsonStreamParser
+from stoatgw.discovery.publisher import EndpointPublisher
 from stoatgw.service import main
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
@@ -83,7 +84,7 @@
     data = HEAD + b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
     ends = sorted({place % len(data) for place in places} | {0, len(data)})
     http = JsonStreamParser()
-    items = [item for start, end in itertools.pairwise(ends) for item in http.feed(data[start:end]) if item]
+    items = [item for start, end in itertools.pairwise(ends) for item in http.receive_data(data[start:end]) if item]
     assert [orjson.loads(item)["version"] for item in items] == sizes
 
 
@@ -92,18 +93,19 @@
 def test_garbage_for_http_ends_in_a_value_error_at_most(garbage: bytes) -> None:
     for data in (garbage, HEAD + garbage):
         with contextlib.suppress(HttpError):
-            JsonStreamParser().feed(data)
+            JsonStreamParser().receive_data(data)
 
 
 def test_an_error_status_is_no_list() -> None:
     with pytest.raises(HttpError):
-        JsonStreamParser().feed(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+        JsonStreamParser().receive_data(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
 def test_an_entry_is_read_by_name() -> None:
-    row, host, port = READER.parse_page(page(entry())).rows[0]
+    listed = READER.parse_page(page(entry())).entries[0]
+    row = listed.endpoint
     assert (row.name, row.zone, row.machine_kind, row.cell, row.started_us) == ("s-1", 1, 1, 3, 5000)
-    assert (row.lifecycle, host, port) == (Lifecycle.ACTIVE, "127.0.0.2", 80)
+    assert (row.lifecycle, listed.host, listed.port) == (Lifecycle.ACTIVE, "127.0.0.2", 80)
 
 
 JSON = st.recursive(st.none() | st.booleans() | st.floats() | st.text(), st.lists)
@@ -119,11 +121,13 @@
 
 def test_no_first_byte_after_the_drain_grace() -> None:
     backends, grace_us = BackendRegistry(), 3_000_000
-    backends.update(READER.parse_page(page(entry())).rows, True, 0)
+    backends.update(READER.parse_page(page(entry())).entries, is_snapshot=True, now_us=0)
     backend = backends.get("s-1")
     assert backend is not None and backend.accepts_new_sessions(10**9, grace_us)
-    assert backends.update(READER.parse_page(page(entry(lifecycle="DRAINING"))).rows, False, 10**9) == [backend]
-    assert backends.update(READER.parse_page(page()).rows, True, 2 * 10**9) == []  # told once: the first counts
+    draining = READER.parse_page(page(entry(lifecycle="DRAINING"))).entries
+    assert backends.update(draining, is_snapshot=False, now_us=10**9) == [backend]
+    empty = READER.parse_page(page()).entries
+    assert backends.update(empty, is_snapshot=True, now_us=2 * 10**9) == []  # told once: the first counts
     assert backend.accepts_new_sessions(10**9 + grace_us - DRAIN_GRACE_MARGIN_US - 1, grace_us)
     assert not backend.accepts_new_sessions(10**9 + grace_us - DRAIN_GRACE_MARGIN_US, grace_us)
 
@@ -234,17 +238,19 @@
 
     server = await asyncio.start_server(discovery, "127.0.0.1", 0)
     address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-    director = watching.DiscoveryClient(
+    director = DiscoveryClient(
         address,
         READER,
-        BackendRegistry(),
-        SimpleNamespace(post=put),
-        VirtualClock(),
-        lambda backend: None,
+        EndpointPublisher(
+            BackendRegistry(),
+            SimpleNamespace(post=put),
+            VirtualClock(),
+            EventLog("n0"),
+            on_draining=lambda backend: None,
+        ),
+        Backoff(2 if pushed else 200, Random(seed), pushed=pushed),
         EventLog("n0"),
         Counters(),
-        Backoff(2 if pushed else 200, Random(seed), pushed=pushed),
-        watching.PUSHED_ANSWER_S if pushed else watching.ASKED_ANSWER_S,
     )
     task = asyncio.create_task(director.run())
     async with asyncio.timeout(down_s + 60):
@@ -274,26 +280,29 @@
 
 def test_changes_of_an_older_generation_are_not_taken_in() -> None:
     put: list[Any] = []
-    director = watching.DiscoveryClient(
+    director = DiscoveryClient(
         Address("127.0.0.1", 1),
         READER,
-        BackendRegistry(),
-        SimpleNamespace(post=put.append),
-        Clock(),
-        lambda backend: None,
+        EndpointPublisher(
+            BackendRegistry(),
+            SimpleNamespace(post=put.append),
+            Clock(),
+            EventLog("n0"),
+            on_draining=lambda backend: None,
+        ),
+        Backoff(2, Random(1)),
         EventLog("n0"),
         Counters(),
-        Backoff(2, Random(1)),
     )
     director.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
-    assert not director._object(json.dumps(page(entry(), generation=41, reset=False)).encode())
-    assert director.endpoints()[0].lifecycle is Lifecycle.DRAINING
-    assert director._object(json.dumps(page(entry(), generation=3)).encode())  # the whole list, of a new count
-    assert director.endpoints()[0].lifecycle is Lifecycle.ACTIVE
+    assert not director._apply_object(json.dumps(page(entry(), generation=41, reset=False)).encode())
+    assert director.publisher.endpoints()[0].lifecycle is Lifecycle.DRAINING
+    assert director._apply_object(json.dumps(page(entry(), generation=3)).encode())  # the whole list, of a new count
+    assert director.publisher.endpoints()[0].lifecycle is Lifecycle.ACTIVE
 
 
 def test_an_object_without_end_is_given_up_at_the_cap() -> None:
-    objects = JsonObjectSplitter(cap=1000)
+    objects = JsonObjectSplitter(max_object_bytes=1000)
     for _ in range(100):
-        assert objects.feed(b'{"a":"' + b"x" * 20) == []
-    assert objects.overlong and not objects.rest
+        assert objects.receive_data(b'{"a":"' + b"x" * 20) == []
+    assert objects.is_overlong and not objects.trailing_data
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-from stoatgw.backends.backend import BackendRegistry
+from stoatgw.backends.backend import BackendRegistry, ListedEndpoint
 from stoatgw.backends.health_check import HealthChecker, LoadReportSchema
 from stoatgw.backends.latency import MessageLatencyTracker, current_latency_ms
 from stoatgw.clients.context import EstablishedSession, ProxyContext, RecentIds
@@ -106,7 +106,7 @@
         server = await asyncio.start_server(taken, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         entry = Endpoint("s")
-        self.backends.update([(entry, "127.0.0.1", port)], True, 0)
+        self.backends.update([ListedEndpoint(entry, "127.0.0.1", port)], is_snapshot=True, now_us=0)
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             self.port = free.getsockname()[1]
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -20,6 +20,7 @@
 from stoatgw.discovery.backoff import Backoff
 from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.discovery.endpoint_list import EndpointListParser
+from stoatgw.discovery.publisher import EndpointPublisher
 from stoatgw.suspension.applier import EVACUATION_DURATION_US, SuspensionApplier
 from stoatgw.suspension.overrides import EndpointOverrides
 from stoatgw.suspension.service import SuspensionService
@@ -106,14 +107,12 @@
         self.director = DiscoveryClient(
             Address("127.0.0.1", 1),
             EndpointListParser(("a", "b"), ()),
-            BackendRegistry(),
-            self.inbox,
-            clock,
-            lambda _: None,
+            EndpointPublisher(
+                BackendRegistry(), self.inbox, clock, log, on_draining=lambda _: None, override=self.overlay.apply
+            ),
+            Backoff(1, random.Random(1)),
             log,
             Counters(),
-            Backoff(1, random.Random(1)),
-            lay=self.overlay.apply,
         )
         self.outs = SuspensionApplier(self.overlay, self.director, self.inbox, clock, log)  # type: ignore[arg-type]
         self.keeper = SuspensionService(str(folder), self.outs, self.director, clock, log)
