--- a/stoatgw/cli/main.py
+++ b/stoatgw/cli/main.py
@@ -18,7 +18,7 @@
 from stoatgw import __version__
 from stoatgw.cli.lab import lab
 from stoatgw.cli.maintain import maintain
-from stoatgw.config.deployment import ConfigError
+from stoatgw.config.errors import ConfigError, report_config_error
 
 
 def _version() -> str:
@@ -80,8 +80,7 @@
         click.echo(f"stoatgw: {' '.join(error.format_message().split())}", err=True)
         return 2
     except ConfigError as error:
-        click.echo(f"stoatgw: {error}", err=True)
-        return 2
+        return report_config_error(error)
     return int(status or 0)
 
 
--- a/stoatgw/cli/maintain.py
+++ b/stoatgw/cli/maintain.py
@@ -9,7 +9,7 @@
 import click
 from msgspec.structs import replace
 
-from stoatgw.config.deployment import ConfigError
+from stoatgw.config.errors import ConfigError
 from stoatgw.config.maintenance import PROXY, MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.config.operators import load_operator_config
@@ -94,7 +94,7 @@
     """Raises ConfigError."""
     operators = load_operator_config(path)
     if operators.membership is None or operators.maintenance is None:
-        raise ConfigError(f"{path}: maintenance: missing")
+        raise ConfigError("missing", field="maintenance", file=path)
     return operators.membership, operators.maintenance
 
 
--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -106,7 +106,9 @@
         """What a backend's LOAD line tells, by the settings alone: see docs/status.md."""
         deployment = self.deployment
         return (
-            SessionMetricKind.DELAY if deployment.tells_delay and not deployment.tells_load else SessionMetricKind.LOAD
+            SessionMetricKind.DELAY
+            if deployment.reports_message_delay and not deployment.reports_session_load
+            else SessionMetricKind.LOAD
         )
 
     def sessions_by_server(self) -> Iterator[tuple[str, list[EstablishedSession]]]:
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -117,7 +117,7 @@
                 self._context.counters.add("sessions_unanswered")
                 standing.latency.pending.clear()
                 standing.abandon_server()
-        if tell and self._context.deployment.tells_delay:
+        if tell and self._context.deployment.reports_message_delay:
             self._tell_delays(now_us)
 
     def _tell_delays(self, now_us: int) -> None:
--- a/stoatgw/config/deployment.py
+++ b/stoatgw/config/deployment.py
@@ -1,4 +1,4 @@
-"""LB_CONFIG into a Deployment: what a proxy is told at its start."""
+"""LB_CONFIG, the platform's JSON file, into the `Deployment` that a proxy starts with."""
 
 from __future__ import annotations
 
@@ -9,18 +9,23 @@
 
 import orjson
 
+from stoatgw.config.errors import ConfigError
 from stoatgw.config.settings import flatten, read_settings
 from stoatgw.decisions.interface import Settings, SettingsError
 
 T = TypeVar("T")
-
-
-class ConfigError(ValueError):
-    """The configuration cannot be used; the message names the field."""
+LB_CONFIG = "LB_CONFIG"
+LB_MANAGEMENT = "LB_MANAGEMENT"
+MAX_PORT = 65535
+DEFAULT_MAX_SOCKETS = 1024
+DEFAULT_DIAL_TIMEOUT_US = "250000"
+DEFAULT_IDLE_TIMEOUT_US = "5000000"
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
+    """A TCP endpoint; `host` is an address or a name."""
+
     host: str
     port: int
 
@@ -30,100 +35,141 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """All that the program goes by."""
+    """What a proxy is configured with at its start.
+
+    Attributes:
+        name: The proxy's own name, unique among the proxies.
+        listen_address: Where clients connect.
+        discovery_address: Where the endpoint list is watched.
+        seed: Seed of all random draws.
+        max_sockets: Limit of open descriptors, over 0.
+        initial_endpoints: The endpoint list as the platform knows it, in discovery's JSON; None without one.
+        settings: The site's settings for the decisions.
+        zones: Zone names by index.
+        machine_types: Machine types by index.
+        dial_timeout_us: Timeout of a connect to a session server, over 0.
+        idle_timeout_us: How long an unused server connection is kept, over 0.
+        reports_message_delay: Whether message delays are measured for the decisions.
+        reports_session_load: Whether session loads are measured for the decisions.
+        management_address: The operators' own address; there is no such listener without one.
+    """
 
     name: str
-    listen: Address
-    discovery: Address
+    listen_address: Address
+    discovery_address: Address
     seed: int
-    sockets: int
-    known: dict[str, Any] | None
+    max_sockets: int
+    initial_endpoints: dict[str, Any] | None
     settings: Settings
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    machine_types: tuple[str, ...]
     dial_timeout_us: int
-    idle_us: int
-    tells_delay: bool
-    tells_load: bool
-    management: Address | None = None  # the operators' own address; none, and there is no such listener
+    idle_timeout_us: int
+    reports_message_delay: bool
+    reports_session_load: bool
+    management_address: Address | None = None
+
 
+def load_deployment(path: str) -> Deployment:
+    """Read LB_CONFIG's file; LB_MANAGEMENT in the environment overrides the management address.
 
-def load(path: str) -> Deployment:
+    Raises:
+        ConfigError: The file cannot be read, is no JSON, or holds what cannot be used.
+    """
     try:
         data = orjson.loads(Path(path).read_bytes())
     except OSError as error:
-        raise ConfigError(f"LB_CONFIG: cannot read {path}: {error.strerror}") from None
+        raise ConfigError(f"cannot read {path}: {error.strerror}", file=LB_CONFIG) from error
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"LB_CONFIG: {path} is no JSON: {error}") from None
-    deployment = read(data)
-    # A second process beside the first may be told of the same file, and of its own address in this.
-    own = os.environ.get("LB_MANAGEMENT")
-    return replace(deployment, management=read_address(own, "LB_MANAGEMENT")) if own else deployment
+        raise ConfigError(f"{path} is no JSON: {error}", file=LB_CONFIG) from error
+    deployment = parse_deployment(data)
+    # A second process on one machine may be given the same file, and a management address of its own in this variable.
+    override = os.environ.get(LB_MANAGEMENT)
+    if not override:
+        return deployment
+    return replace(deployment, management_address=parse_address(override, LB_MANAGEMENT))
 
 
-def read(data: Any) -> Deployment:
+def parse_deployment(data: Any) -> Deployment:
+    """Check the parsed JSON of LB_CONFIG.
+
+    Raises:
+        ConfigError: A field is missing, of another type or out of its bounds.
+    """
     if not isinstance(data, dict):
-        raise ConfigError("LB_CONFIG: not a JSON object")
-    settings = _get(data, "settings", dict)
-    pairs = flatten(settings)
+        raise ConfigError("not a JSON object", file=LB_CONFIG)
+    raw_settings = _require(data, "settings", dict)
+    pairs = flatten(raw_settings)
     try:
-        built = read_settings(pairs)
+        settings = read_settings(pairs)
     except SettingsError as error:
-        raise ConfigError(f"settings: {error}") from None
+        raise ConfigError(str(error), field="settings") from error
     limits = data.get("limits") or {}
     if not isinstance(limits, dict):
-        raise ConfigError("limits: not an object")
+        raise ConfigError("not an object", field="limits")
     return Deployment(
-        name=_get(data, "name", str),
-        listen=read_address(_get(data, "listen", str), "listen"),
-        discovery=read_address(_get(data, "discovery", str), "discovery"),
-        seed=_seed(_get(data, "seed", str)),
-        sockets=_whole(limits.get("sockets", 1024), "limits.sockets"),
-        known=_get(data, "known", dict) if data.get("known") is not None else None,
-        settings=built,
-        zones=_names(settings, "areas"),
-        kinds=_names(settings, "kinds"),
-        dial_timeout_us=_whole(pairs.get("bounds.dial_timeout_us", "250000"), "bounds.dial_timeout_us"),
-        idle_us=_whole(pairs.get("bounds.conn_idle_us", "5000000"), "bounds.conn_idle_us"),
-        tells_delay=pairs.get("domain.tells_delay") == "true",
-        tells_load=pairs.get("domain.tells_load") == "true",
-        management=read_address(_get(data, "management", str), "management") if data.get("management") else None,
+        name=_require(data, "name", str),
+        listen_address=parse_address(_require(data, "listen", str), "listen"),
+        discovery_address=parse_address(_require(data, "discovery", str), "discovery"),
+        seed=_parse_seed(_require(data, "seed", str)),
+        max_sockets=_parse_positive_integer(limits.get("sockets", DEFAULT_MAX_SOCKETS), "limits.sockets"),
+        initial_endpoints=_require(data, "known", dict) if data.get("known") is not None else None,
+        settings=settings,
+        zones=_parse_names(raw_settings, "areas"),
+        machine_types=_parse_names(raw_settings, "kinds"),
+        dial_timeout_us=_parse_duration_us(pairs, "bounds.dial_timeout_us", DEFAULT_DIAL_TIMEOUT_US),
+        idle_timeout_us=_parse_duration_us(pairs, "bounds.conn_idle_us", DEFAULT_IDLE_TIMEOUT_US),
+        reports_message_delay=pairs.get("domain.tells_delay") == "true",
+        reports_session_load=pairs.get("domain.tells_load") == "true",
+        management_address=(
+            parse_address(_require(data, "management", str), "management") if data.get("management") else None
+        ),
     )
 
 
-def read_address(text: str, field: str) -> Address:
+def parse_address(text: str, field: str) -> Address:
+    """Parse `host:port`.
+
+    Raises:
+        ConfigError: `text`, the value of `field`, is no such pair.
+    """
     host, found, port = text.rpartition(":")
-    if not found or not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{field}: {text[:60]!r} is no host:port")
+    is_number = port.isascii() and port.isdigit()
+    if not found or not host or not is_number or not 0 < int(port) <= MAX_PORT:
+        raise ConfigError(f"{text[:60]!r} is no host:port", field=field)
     return Address(host, int(port))
 
 
-def _get(data: dict[str, Any], field: str, kind: type[T]) -> T:
+def _require(data: dict[str, Any], field: str, kind: type[T]) -> T:
     value = data.get(field)
     if not isinstance(value, kind):
-        raise ConfigError(f"{field}: missing, or not a {kind.__name__}")
+        raise ConfigError(f"missing, or not a {kind.__name__}", field=field)
     return value
 
 
-def _names(settings: dict[str, Any], field: str) -> tuple[str, ...]:
+def _parse_names(settings: dict[str, Any], field: str) -> tuple[str, ...]:
     names = settings.get(field, [])
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
-        raise ConfigError(f"settings.{field}: not a list of names")
+        raise ConfigError("not a list of names", field=f"settings.{field}")
     return tuple(names)
 
 
-def _seed(text: str) -> int:
+def _parse_seed(text: str) -> int:
     try:
         return int(text, 16)
-    except ValueError:
-        raise ConfigError(f"seed: {text[:40]!r} is not hex") from None
+    except ValueError as error:
+        raise ConfigError(f"{text[:40]!r} is not hex", field="seed") from error
+
+
+def _parse_duration_us(pairs: dict[str, str], path: str, default: str) -> int:
+    return _parse_positive_integer(pairs.get(path, default), path)
 
 
-def _whole(value: Any, field: str) -> int:
+def _parse_positive_integer(value: Any, field: str) -> int:
     try:
         number = int(float(value))
-    except (TypeError, ValueError, OverflowError):
-        raise ConfigError(f"{field}: {str(value)[:40]!r} is no number") from None
+    except (TypeError, ValueError, OverflowError) as error:
+        raise ConfigError(f"{str(value)[:40]!r} is no number", field=field) from error
     if number <= 0:
-        raise ConfigError(f"{field}: must be over 0")
+        raise ConfigError("must be over 0", field=field)
     return number
--- a/stoatgw/config/settings.py
+++ b/stoatgw/config/settings.py
@@ -1,14 +1,21 @@
-"""Settings from path=value pairs, as the simulator's wire and LB_CONFIG both give them."""
+"""Settings of the decisions from path=value pairs, as the simulator's wire and LB_CONFIG both give them."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable
+from enum import Enum
 from typing import Any, TypeVar
 
 from stoatgw.decisions.interface import Idempotency, KeyScope, RequestClass, Settings, SettingsError
 
 T = TypeVar("T")
+E = TypeVar("E", bound=Enum)
+
+ABSENT = "-"  # an optional setting without a value
+UNLIMITED = "null"  # an item of a list of numbers that sets no limit
+BOOLEANS = {"true": True, "1": True, "false": False, "0": False}
+NO_REPORTS = "off"
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
@@ -24,101 +31,155 @@
             for index, item in enumerate(value):
                 pairs |= flatten(item, f"{path}.{index}")
             return pairs
-        return {path: ",".join(_plain(item) for item in value)}
-    return {path: "-" if value is None else _plain(value)}
+        return {path: ",".join(_format_scalar(item) for item in value)}
+    return {path: ABSENT if value is None else _format_scalar(value)}
 
 
-def _plain(value: Any) -> str:
+def _format_scalar(value: Any) -> str:
     if value is None:
-        return "null"
+        return UNLIMITED
     if isinstance(value, bool):
         return "true" if value else "false"
     return value if isinstance(value, str) else repr(value)
 
 
-def _read_number(text: str) -> float:
+class _SettingsReader:
+    """Typed access to path=value pairs. A path without a default is required.
+
+    All methods raise SettingsError with the path of a setting that is missing or cannot be read.
+    """
+
+    def __init__(self, pairs: dict[str, str]) -> None:
+        self._pairs = pairs
+
+    def integer(self, path: str, default: int | None = None) -> int:
+        """A whole number; a fraction is cut off."""
+        return self._read(path, _parse_integer, default)
+
+    def number(self, path: str, default: float | None = None) -> float:
+        """A finite number."""
+        return self._read(path, _parse_number, default)
+
+    def flag(self, path: str) -> bool:
+        """A boolean, false by default."""
+        return self._read(path, BOOLEANS.__getitem__, False)
+
+    def text(self, path: str, default: str) -> str:
+        """Any text."""
+        return self._read(path, str, default)
+
+    def choice(self, path: str, kind: type[E], default: E | None = None) -> E:
+        """A member of an enumeration, by its value."""
+        return self._read(path, kind, default)
+
+    def names(self, path: str) -> tuple[str, ...]:
+        """A list of names, empty by default."""
+        return self._read(path, _parse_names, ())
+
+    def limits(self, path: str) -> tuple[float, ...]:
+        """Numbers, with infinity where the list sets no limit."""
+        return self._read(path, _parse_limits, ())
+
+    def _read(self, path: str, parse: Callable[[str], T], default: T | None) -> T:
+        text = self._pairs.get(path)
+        if text is None or text == ABSENT:
+            if default is None:
+                raise SettingsError(f"setting {path} is missing")
+            return default
+        try:
+            return parse(text)
+        except (ValueError, KeyError, OverflowError) as error:
+            raise SettingsError(f"setting {path} cannot be {text[:40]!r}") from error
+
+
+def _parse_number(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
         raise ValueError(text)
     return value
 
 
-def _read_bool(text: str) -> bool:
-    return {"true": True, "1": True, "false": False, "0": False}[text]
+def _parse_integer(text: str) -> int:
+    return int(_parse_number(text))
+
+
+def _parse_names(text: str) -> tuple[str, ...]:
+    return tuple(part for part in text.split(",") if part)
+
+
+def _parse_limits(text: str) -> tuple[float, ...]:
+    return tuple(math.inf if part == UNLIMITED else _parse_number(part) for part in _parse_names(text))
 
 
 def read_settings(pairs: dict[str, str]) -> Settings:
-    """Build Settings from the path=value pairs; unknown paths are ignored."""
+    """Build the settings from path=value pairs; unknown paths are ignored.
 
-    def get(path: str, read: Callable[[str], T], default: T | None = None) -> T:
-        text = pairs.get(path)
-        if text is None or text == "-":
-            if default is None:
-                raise SettingsError(f"setting {path} is missing")
-            return default
-        try:
-            return read(text)
-        except (ValueError, KeyError, OverflowError):
-            raise SettingsError(f"setting {path} cannot be {text[:40]!r}") from None
-
-    def integer(text: str) -> int:
-        return int(_read_number(text))
-
-    def words(text: str) -> tuple[str, ...]:
-        return tuple(part for part in text.split(",") if part)
-
-    def numbers(text: str) -> tuple[float, ...]:
-        # A place without a number holds "null": no quota, no aim.
-        return tuple(math.inf if part == "null" else _read_number(part) for part in words(text))
-
-    no_numbers: tuple[float, ...] = ()
-    aims = get("domain.message_aim_us", numbers, no_numbers)
-    profiles = []
-    for index in range(get("profiles.count", integer)):
-        path = f"profiles.{index}."
-        deadline_us = get(path + "deadline_us", integer)
-        profiles.append(
-            RequestClass(
-                on_time_us=get(path + "on_time_us", integer, deadline_us),
-                deadline_us=deadline_us,
-                worth=get(path + "worth", _read_number, 1.0),
-                idempotency=get(path + "idempotency", Idempotency),
-                key_scope=get(path + "key_scope", KeyScope, KeyScope.ALL),
-                key_ttl_us=get(path + "key_ttl_us", integer, 0),
-                message_aim_us=aims[index] if index < len(aims) else math.inf,
-                name=get(path + "name", str, f"class {index}"),
-            )
-        )
-    via = get("report.via", str, "off")
+    Raises:
+        SettingsError: A setting is missing, cannot be read, or is out of its bounds.
+    """
+    reader = _SettingsReader(pairs)
     return Settings(
-        profiles=tuple(profiles),
-        balancers=get("balancers", integer),
-        rank=get("rank", integer, 0),
-        zone=get("locality", integer, 0),
-        max_attempts=get("bounds.max_attempts", integer),
-        can_probe=get("bounds.probes", _read_bool, False),
-        probe_price=get("prices.probe", _read_number, 0.0),
-        live_weights=get("weights", str, "off") == "live",
-        can_tell=get("bounds.peers", _read_bool, False),
-        can_cancel=get("bounds.cancelling", _read_bool, False),
-        can_advise_retry_after=get("bounds.retry_after", _read_bool, False),
-        parallel_tries=get("bounds.parallel_tries", _read_bool, False),
-        max_retry_after_us=get("bounds.max_retry_after_us", integer, 0),
-        counted_by_work=get("counted_by", str, "request") == "work",
-        must_subscribe=get("discovery", str, "automatic") == "subscribe",
-        pass_mode=get("domain.mode", str, "proxy") == "pass",
-        park_us=get("domain.park_us", integer, 0),
-        groups=get("domain.groups", _read_bool, False),
-        tenants=tuple(get(f"tenants.{index}.name", str, "") for index in range(get("tenants.count", integer, 0))),
-        over_share_worth=get("over_share_worth", _read_number, 1.0),
-        tenant_quota_connections=get("domain.tenant_quota_connections", numbers, no_numbers),
-        report_columns=() if via == "off" else get("report.columns", words, ()),
-        answer_slack_us=get("rules.answer_slack_us", integer, 0),
-        ask_within_us=get("rules.ask_within_us", integer, 0),
-        cold_from=get("rules.cold_from", _read_number, 1.0),
-        cold_us=get("rules.cold_us", integer, 0),
-        drain_grace_us=get("rules.drain_grace_us", integer),
-        fall_multiple=get("rules.fall_multiple", _read_number, 1.0),
-        fall_us=get("rules.fall_us", integer, 0),
-        granularity_us=get("granularity_us", integer, 0),
+        profiles=_read_request_classes(reader),
+        balancers=reader.integer("balancers"),
+        rank=reader.integer("rank", 0),
+        zone=reader.integer("locality", 0),
+        max_attempts=reader.integer("bounds.max_attempts"),
+        can_probe=reader.flag("bounds.probes"),
+        probe_price=reader.number("prices.probe", 0.0),
+        live_weights=reader.text("weights", "off") == "live",
+        can_tell=reader.flag("bounds.peers"),
+        can_cancel=reader.flag("bounds.cancelling"),
+        can_advise_retry_after=reader.flag("bounds.retry_after"),
+        parallel_tries=reader.flag("bounds.parallel_tries"),
+        max_retry_after_us=reader.integer("bounds.max_retry_after_us", 0),
+        counted_by_work=reader.text("counted_by", "request") == "work",
+        must_subscribe=reader.text("discovery", "automatic") == "subscribe",
+        pass_mode=reader.text("domain.mode", "proxy") == "pass",
+        park_us=reader.integer("domain.park_us", 0),
+        groups=reader.flag("domain.groups"),
+        tenants=_read_tenants(reader),
+        over_share_worth=reader.number("over_share_worth", 1.0),
+        tenant_quota_connections=reader.limits("domain.tenant_quota_connections"),
+        report_columns=_read_report_columns(reader),
+        answer_slack_us=reader.integer("rules.answer_slack_us", 0),
+        ask_within_us=reader.integer("rules.ask_within_us", 0),
+        cold_from=reader.number("rules.cold_from", 1.0),
+        cold_us=reader.integer("rules.cold_us", 0),
+        drain_grace_us=reader.integer("rules.drain_grace_us"),
+        fall_multiple=reader.number("rules.fall_multiple", 1.0),
+        fall_us=reader.integer("rules.fall_us", 0),
+        granularity_us=reader.integer("granularity_us", 0),
     )
+
+
+def _read_request_classes(reader: _SettingsReader) -> tuple[RequestClass, ...]:
+    objectives_us = reader.limits("domain.message_aim_us")
+    return tuple(
+        _read_request_class(reader, index, objectives_us[index] if index < len(objectives_us) else math.inf)
+        for index in range(reader.integer("profiles.count"))
+    )
+
+
+def _read_request_class(reader: _SettingsReader, index: int, latency_objective_us: float) -> RequestClass:
+    path = f"profiles.{index}"
+    deadline_us = reader.integer(f"{path}.deadline_us")
+    return RequestClass(
+        on_time_us=reader.integer(f"{path}.on_time_us", deadline_us),
+        deadline_us=deadline_us,
+        worth=reader.number(f"{path}.worth", 1.0),
+        idempotency=reader.choice(f"{path}.idempotency", Idempotency),
+        key_scope=reader.choice(f"{path}.key_scope", KeyScope, KeyScope.ALL),
+        key_ttl_us=reader.integer(f"{path}.key_ttl_us", 0),
+        message_aim_us=latency_objective_us,
+        name=reader.text(f"{path}.name", f"class {index}"),
+    )
+
+
+def _read_tenants(reader: _SettingsReader) -> tuple[str, ...]:
+    return tuple(reader.text(f"tenants.{index}.name", "") for index in range(reader.integer("tenants.count", 0)))
+
+
+def _read_report_columns(reader: _SettingsReader) -> tuple[str, ...]:
+    if reader.text("report.via", NO_REPORTS) == NO_REPORTS:
+        return ()
+    return reader.names("report.columns")
--- a/stoatgw/config/toml.py
+++ b/stoatgw/config/toml.py
@@ -1,4 +1,4 @@
-"""TOML files into checked records: what is wrong becomes one line that names the file and the field."""
+"""TOML files into checked records: what is wrong is raised as an error that names the file and the field."""
 
 from __future__ import annotations
 
@@ -11,44 +11,69 @@
 
 import msgspec
 
-T = TypeVar("T")
-BYTES_MOST = 1 << 20  # such a file is a page or two; guards against being handed a dump
-
+from stoatgw.config.errors import ConfigError
 
-class TomlError(ValueError):
-    """A file cannot be used; the message names it and the field."""
+T = TypeVar("T")
+MAX_FILE_BYTES = 1 << 20  # such a file is a page or two; guards against being handed a dump
+MAX_REASON_CHARACTERS = 200
 
 
 def load_toml(path: Path) -> dict[str, Any]:
-    """Raises TomlError."""
+    """Read a TOML file.
+
+    Raises:
+        ConfigError: The file is too large, cannot be read, or is no TOML.
+    """
+    file = str(path)
     try:
-        size = path.stat().st_size
-        if size > BYTES_MOST:
-            raise TomlError(f"{path}: the file holds {size} bytes, over {BYTES_MOST}")
-        return tomllib.loads(path.read_bytes().decode())
+        size_bytes = path.stat().st_size
+        data = path.read_bytes() if size_bytes <= MAX_FILE_BYTES else None
     except OSError as error:
-        raise TomlError(f"{path}: cannot be read: {error.strerror}") from None
+        raise ConfigError(f"cannot be read: {error.strerror}", file=file) from error
+    if data is None:
+        raise ConfigError(f"the file holds {size_bytes} bytes, over {MAX_FILE_BYTES}", file=file)
+    try:
+        return tomllib.loads(data.decode())
     except UnicodeDecodeError as error:
-        raise TomlError(f"{path}: byte {error.start} is not UTF-8") from None
+        raise ConfigError(f"byte {error.start} is not UTF-8", file=file) from error
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        raise TomlError(f"{path}: is no TOML: {str(error)[:200]}") from None
+        raise ConfigError(f"is no TOML: {str(error)[:MAX_REASON_CHARACTERS]}", file=file) from error
 
 
 def convert(data: dict[str, Any], kind: type[T], source: str, names: Iterable[str]) -> T:
-    """Data into a record; `names` are the fields that a misspelt one may have meant. Raises TomlError."""
+    """Convert parsed TOML into a record.
+
+    Args:
+        data: The parsed file.
+        kind: The record's type, a `msgspec.Struct`.
+        source: The file, as errors name it.
+        names: The known fields; the nearest of them is offered for an unknown one.
+
+    Raises:
+        ConfigError: A field is unknown, missing, of another type or out of its bounds.
+    """
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
-        raise TomlError(f"{source}: {_explain(str(error), names)}") from None
+        field, reason = _explain(str(error), names)
+        raise ConfigError(reason, field=field, file=source) from error
+
+
+def file_field_names(tables: Iterable[type[msgspec.Struct]]) -> list[str]:
+    """The fields of some records as files spell them, for `convert`."""
+    return [name for table in tables for name in table.__struct_encode_fields__]
 
 
-def _explain(text: str, names: Iterable[str]) -> str:
-    """msgspec's message with the field first, and the nearest known name of an unknown one."""
+def _explain(text: str, names: Iterable[str]) -> tuple[str, str]:
+    """Take the field and the reason out of a msgspec message; an unknown field gets the nearest known name."""
     message, found, path = text.partition(" - at `$.")
     field = path.rstrip("`") if found else ""
     unknown = re.search(r"unknown field `([^`]*)`", message)
     if unknown is not None:
-        near = difflib.get_close_matches(unknown.group(1), sorted(names), 1)
-        field = f"{field}.{unknown.group(1)}" if field else unknown.group(1)
-        message = "unknown field" + (f"; nearest known name: {near[0]}" if near else "")
-    return f"{field or 'the file'}: {message[:200]}"
+        name = unknown.group(1)
+        field = f"{field}.{name}" if field else name
+        message = "unknown field"
+        nearest = difflib.get_close_matches(name, sorted(names), 1)
+        if nearest:
+            message += f"; nearest known name: {nearest[0]}"
+    return field or "the file", message[:MAX_REASON_CHARACTERS]
--- a/stoatgw/discovery/endpoint_list.py
+++ b/stoatgw/discovery/endpoint_list.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from stoatgw.backends.backend import ListedEndpoint
-from stoatgw.config.deployment import Address, ConfigError, read_address
+from stoatgw.config.deployment import Address, parse_address
+from stoatgw.config.errors import ConfigError
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
 LIFECYCLES = {"SERVING": Lifecycle.ACTIVE, "DRAINING": Lifecycle.DRAINING, "DELETED": Lifecycle.REMOVED}
@@ -79,7 +80,7 @@
 
 def _parse_address(value: Any) -> Address:
     try:
-        return read_address(str(value), "hostPort")
+        return parse_address(str(value), "hostPort")
     except ConfigError as error:
         raise EndpointListError(str(error)) from error
 
--- a/stoatgw/emulator/world/scenario.py
+++ b/stoatgw/emulator/world/scenario.py
@@ -10,7 +10,8 @@
 
 import msgspec
 
-from stoatgw.config.toml import TomlError, convert, load_toml
+from stoatgw.config.errors import ConfigError
+from stoatgw.config.toml import convert, file_field_names, load_toml
 from stoatgw.rebalance.limits import RebalanceLimits
 
 VERSION = 1
@@ -294,7 +295,7 @@
     """
     try:
         data = load_toml(path)
-    except TomlError as fault:
+    except ConfigError as fault:
         raise ScenarioError(str(fault)) from None
     for change in changes:
         _set(data, change)
@@ -302,10 +303,10 @@
 
 
 def read(data: dict[str, Any], source: str) -> Scenario:
-    names = {name for table in _tables() for name in table.__struct_fields__} | set(RebalanceLimits.__struct_fields__)
+    names = file_field_names([*_tables(), RebalanceLimits])
     try:
         scenario = convert(data, Scenario, source, names)
-    except TomlError as fault:
+    except ConfigError as fault:
         raise ScenarioError(str(fault)) from None
     for field, why in _cross_checks(scenario):
         raise ScenarioError(f"{source}: {field}: {why}")
--- a/stoatgw/hot_restart/socket_activation.py
+++ b/stoatgw/hot_restart/socket_activation.py
@@ -6,7 +6,8 @@
 import socket
 import stat
 
-from stoatgw.config.deployment import Address, ConfigError
+from stoatgw.config.deployment import Address
+from stoatgw.config.errors import ConfigError
 
 FIELD = "LB_LISTEN_FD"
 
@@ -14,18 +15,18 @@
 def adopt(text: str, listen: Address) -> socket.socket:
     """The socket with that number, if it listens where the configuration says. Raises ConfigError."""
     if not text.isascii() or not text.isdigit() or int(text) > 1 << 20:
-        raise ConfigError(f"{FIELD}: {text[:40]!r} is no descriptor's number")
+        raise ConfigError(f"{text[:40]!r} is no descriptor's number", field=FIELD)
     number = int(text)
     try:
         if not stat.S_ISSOCK(os.fstat(number).st_mode):
-            raise ConfigError(f"{FIELD}: descriptor {number} is no socket")
+            raise ConfigError(f"descriptor {number} is no socket", field=FIELD)
     except OSError as fault:
-        raise ConfigError(f"{FIELD}: descriptor {number}: {fault.strerror}") from None
+        raise ConfigError(f"descriptor {number}: {fault.strerror}", field=FIELD) from None
     sock = socket.socket(fileno=number)
     why = _unfit(sock, listen)
     if why:
         sock.detach()  # whoever gave it may use it still
-        raise ConfigError(f"{FIELD}: descriptor {number} {why}")
+        raise ConfigError(f"descriptor {number} {why}", field=FIELD)
     # Shared with whoever else holds it: a blocking accept would hang where another process was faster.
     sock.setblocking(False)
     return sock
--- a/stoatgw/membership/client.py
+++ b/stoatgw/membership/client.py
@@ -10,7 +10,7 @@
 import httptools
 import orjson
 
-from stoatgw.config.deployment import Address, read_address
+from stoatgw.config.deployment import Address, parse_address
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.membership.etcd_api import Body
 from stoatgw.sockets import tcp
@@ -118,5 +118,5 @@
 def make_client(told: MembershipConfig, first: int = 0) -> CoordinationClient:
     """Raises ConfigError."""
     return CoordinationClient(
-        [read_address(each, "membership.engine") for each in told.engine], told.call_ms / 1000, first
+        [parse_address(each, "membership.engine") for each in told.engine], told.call_ms / 1000, first
     )
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -8,7 +8,6 @@
 import random
 import resource
 import signal
-import sys
 from collections.abc import Callable, Coroutine
 from dataclasses import replace
 from functools import partial
@@ -22,7 +21,8 @@
 from stoatgw.clients.descriptor_limiter import DescriptorLimiter
 from stoatgw.clients.listener import Listener
 from stoatgw.clock import Clock
-from stoatgw.config.deployment import Address, ConfigError, Deployment, load
+from stoatgw.config.deployment import Address, Deployment, load_deployment
+from stoatgw.config.errors import ConfigError, report_config_error
 from stoatgw.controller.controller import Controller
 from stoatgw.controller.graceful_shutdown import plan_shutdown
 from stoatgw.controller.migrations import MigrationPlanner
@@ -79,19 +79,22 @@
         """A file that cannot be used is logged and changes nothing."""
         self._counters.add("configuration_reloads")
         try:
-            fresh = load(self._path)
+            fresh = load_deployment(self._path)
         except Exception as fault:  # guards against a half-written file: what runs stays as it is
             self._counters.add("configuration_rejections")
             self._log.event("configuration_rejected", error=str(fault)[:200])
             return
         # The seed and the list are new with each file; what else differs is told, not taken.
         same = replace(
-            fresh, discovery=self._deployment.discovery, seed=self._deployment.seed, known=self._deployment.known
+            fresh,
+            discovery_address=self._deployment.discovery_address,
+            seed=self._deployment.seed,
+            initial_endpoints=self._deployment.initial_endpoints,
         )
         self._log.event(
-            "configuration_reloaded", discovery=str(fresh.discovery), restart_needed=same != self._deployment
+            "configuration_reloaded", discovery=str(fresh.discovery_address), restart_needed=same != self._deployment
         )
-        self._director.change_address(fresh.discovery)
+        self._director.change_address(fresh.discovery_address)
 
 
 def make_mover(operators: OperatorConfig | None, settings: Settings, seed: int) -> MigrationPlanner | None:
@@ -120,12 +123,12 @@
     owner = Controller(settings, deployment.seed, clock, log, counters)
     columns = LoadReportSchema(settings.report_columns)
     sharing = None
-    if operators is not None and operators.membership is not None and operators.sharing is not None:
+    if operators is not None and operators.membership is not None and operators.shared_health_checks is not None:
         from stoatgw.shared_health_checks.service import make_shared_health_checker
 
         sharing = make_shared_health_checker(
             operators.membership,
-            operators.sharing,
+            operators.shared_health_checks,
             deployment,
             owner,
             log,
@@ -135,8 +138,8 @@
     prober = HealthChecker(sharing or owner, clock, columns, deployment.dial_timeout_us, counters)
     overlay = EndpointOverrides()
     director = DiscoveryClient(
-        deployment.discovery,
-        EndpointListParser(deployment.zones, deployment.kinds),
+        deployment.discovery_address,
+        EndpointListParser(deployment.zones, deployment.machine_types),
         EndpointPublisher(
             backends,
             owner,
@@ -149,7 +152,7 @@
         log,
         counters,
     )
-    room = DescriptorLimiter(deployment.sockets - (CALLERS_KEPT if deployment.management else 0))
+    room = DescriptorLimiter(deployment.max_sockets - (CALLERS_KEPT if deployment.management_address else 0))
     context = ProxyContext(deployment, owner, backends, clock, columns.to_row, counters, log, room)
     listener = Listener(context)
     loop.add_signal_handler(signal.SIGHUP, Reload(path, deployment, director, log, counters))
@@ -167,7 +170,7 @@
         ),
     )
     keeper = agent = None
-    if deployment.management is not None:
+    if deployment.management_address is not None:
         from stoatgw.suspension.applier import SuspensionApplier
         from stoatgw.suspension.service import SuspensionService
 
@@ -182,10 +185,10 @@
             operators.membership, operators.maintenance, deployment, context, owner, director, overlay, clock, log
         )
         agent.start()
-    director.load_snapshot(deployment.known)
+    director.load_snapshot(deployment.initial_endpoints)
     backstage = ServiceGateway(backends, prober, director)
     owner.start(backstage, make_mover(operators, settings, deployment.seed))
-    bind(listener, deployment.listen)
+    bind(listener, deployment.listen_address)
     loops: list[Callable[[], Coroutine[Any, Any, None]]] = [
         owner.run,
         director.run,
@@ -199,7 +202,7 @@
         beside = HotRestart(os.environ.get("TMPDIR"), context, listener, director, log)
         beside.start()
         loops.append(partial(run_periodically, LOOK_S, beside.poll, log))
-    if deployment.management is not None and keeper is not None:
+    if deployment.management_address is not None and keeper is not None:
         from stoatgw.management.listener import ManagementListener
         from stoatgw.management.operations import Operations
         from stoatgw.suspension.service import LOOK_S as BANS_LOOK_S
@@ -207,9 +210,9 @@
         desk = Operations(context, owner, director, keeper, log, lambda: beside is None or beside.is_accepting)
         callers = ManagementListener(desk, log, counters)
         try:
-            callers.bind(deployment.management)
+            callers.bind(deployment.management_address)
         except OSError as fault:
-            raise ConfigError(f"management: cannot listen there: {fault.strerror}") from None
+            raise ConfigError(f"cannot listen there: {fault.strerror}", field="management") from None
         loops += [callers.run, partial(run_periodically, BANS_LOOK_S, keeper.poll, log)]
     if sharing is not None:
         backstage.request_health_check = sharing.request_health_check
@@ -217,7 +220,7 @@
     if agent is not None:
         loops.append(agent.run)
     tasks = [loop.create_task(run()) for run in loops]
-    log.event("ready", listen=str(deployment.listen))
+    log.event("ready", listen=str(deployment.listen_address))
     stop = loop.create_task(stopped.wait())
     await asyncio.wait([stop, *tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
@@ -273,7 +276,7 @@
     try:
         listener.bind(listen)
     except OSError as fault:
-        raise ConfigError(f"listen: cannot listen there: {fault.strerror}") from None
+        raise ConfigError(f"cannot listen there: {fault.strerror}", field="listen") from None
 
 
 def main() -> int:
@@ -282,17 +285,16 @@
     path = os.environ.get("LB_CONFIG")
     try:
         if not path:
-            raise ConfigError("LB_CONFIG: not set")
-        start(load(path), path, read_operators())
+            raise ConfigError("not set", file="LB_CONFIG")
+        start(load_deployment(path), path, read_operators())
     except ConfigError as fault:
-        print(f"stoatgw: {fault}", file=sys.stderr)
-        return 2
+        return report_config_error(fault)
     return 0
 
 
 def start(deployment: Deployment, path: str, operators: OperatorConfig | None = None) -> None:
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = deployment.sockets if hard == resource.RLIM_INFINITY else min(deployment.sockets, hard)
+    wanted = deployment.max_sockets if hard == resource.RLIM_INFINITY else min(deployment.max_sockets, hard)
     resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     gc.freeze()
     uvloop.run(serve(deployment, path, operators))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -20,7 +20,8 @@
 
 from stoatgw.backends.backend import DRAIN_GRACE_MARGIN_US, BackendRegistry
 from stoatgw.clock import Clock
-from stoatgw.config.deployment import Address, ConfigError, Deployment, read
+from stoatgw.config.deployment import Address, Deployment, parse_deployment
+from stoatgw.config.errors import ConfigError
 from stoatgw.controller.messages import EndpointsUpdated
 from stoatgw.decisions.interface import Lifecycle
 from stoatgw.discovery.backoff import NOTIFICATION_DEADLINE_S, Backoff
@@ -133,8 +134,8 @@
 
 
 def test_the_configuration_is_read() -> None:
-    deployment: Deployment = read(CONFIG)
-    assert (deployment.seed, deployment.zones, deployment.tells_delay) == (31, ("a", "b"), True)
+    deployment: Deployment = parse_deployment(CONFIG)
+    assert (deployment.seed, deployment.zones, deployment.reports_message_delay) == (31, ("a", "b"), True)
     assert [profile.name for profile in deployment.settings.profiles] == ["chat", "view"]
     assert deployment.settings.profiles[1].message_aim_us == float("inf")
     assert deployment.settings.report_columns == ("outstanding", "x0")
@@ -154,7 +155,7 @@
 )
 def test_a_bad_configuration_names_its_field(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
-        read(CONFIG | changes)
+        parse_deployment(CONFIG | changes)
 
 
 def test_an_address_that_cannot_be_bound_ends_the_start_with_status_2(
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -14,7 +14,8 @@
 
 import pytest
 
-from stoatgw.config.deployment import Address, ConfigError
+from stoatgw.config.deployment import Address
+from stoatgw.config.errors import ConfigError
 from stoatgw.hot_restart.handover import LEARN_US, LIST_US, may_begin, newer
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
 from stoatgw.hot_restart.socket_activation import adopt
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -17,7 +17,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from stoatgw.config.deployment import ConfigError
+from stoatgw.config.errors import ConfigError
 from stoatgw.config.maintenance import MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.config.operators import load_operator_config
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from stoatgw.config.deployment import ConfigError
+from stoatgw.config.errors import ConfigError
 from stoatgw.config.operators import OperatorConfig, load_operator_config
 from stoatgw.decisions.interface import Migrate, Request, ServerEstimate
 from stoatgw.decisions.records import ServerState
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -19,7 +19,7 @@
 from stoatgw.clients.listener import MONITOR_INTERVAL_S, Listener
 from stoatgw.clients.session import LINE_BOUNDARY_TIMEOUT_S
 from stoatgw.clock import Clock
-from stoatgw.config.deployment import Address, read
+from stoatgw.config.deployment import Address, parse_deployment
 from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import (
     BeginDrain,
@@ -43,13 +43,13 @@
     """A proxy in this process, with one toy backend `s`."""
 
     def __init__(self) -> None:
-        self.deployment = read(CONFIG)
+        self.deployment = parse_deployment(CONFIG)
         self.clock, self.counters, self.backends = Clock(), Counters(), BackendRegistry()
         log = EventLog("test")
         self.controller = Controller(self.deployment.settings, 1, self.clock, log, self.counters)
         columns = LoadReportSchema(self.deployment.settings.report_columns)
         self.health_checker = HealthChecker(self.controller, self.clock, columns, 250_000, self.counters)
-        self.descriptor_limiter = DescriptorLimiter(self.deployment.sockets)
+        self.descriptor_limiter = DescriptorLimiter(self.deployment.max_sockets)
         self.context = ProxyContext(
             self.deployment,
             self.controller,
@@ -384,7 +384,7 @@
 
         proxy.controller.post = listen  # type: ignore[method-assign]
         domain = {"tells_delay": tells[0], "tells_load": tells[1]}
-        proxy.context.deployment = read(CONFIG | {"settings": CONFIG["settings"] | {"domain": domain}})
+        proxy.context.deployment = parse_deployment(CONFIG | {"settings": CONFIG["settings"] | {"domain": domain}})
         _, writer = await proxy.open_session()
         while not heard:
             await asyncio.sleep(0.01)
@@ -408,7 +408,7 @@
 
         proxy.controller.post = listen  # type: ignore[method-assign]
         tenants = [{"name": "selangor"}, {"name": "johor"}]
-        proxy.context.deployment = read(CONFIG | {"settings": CONFIG["settings"] | {"tenants": tenants}})
+        proxy.context.deployment = parse_deployment(CONFIG | {"settings": CONFIG["settings"] | {"tenants": tenants}})
         proxy.context.__post_init__()
         for more in (b",t=johor", b",t=selangor", b",t=other", b""):
             reader, writer = await proxy.open_session(more)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from stoatgw.config.deployment import ConfigError
+from stoatgw.config.errors import ConfigError
 from stoatgw.config.maintenance import MaintenancePlan
 from stoatgw.config.operators import load_operator_config
 from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
