--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -16,7 +16,7 @@
     @wraps(command)
     def run(*args: Any, **kwargs: Any) -> Any:
         from stoatgw.emulator.world.scenario import ScenarioError
-        from stoatgw.lab.experiment import LabError
+        from stoatgw.lab.errors import LabError
 
         try:
             return command(*args, **kwargs)
--- a/stoatgw/lab/bench.py
+++ b/stoatgw/lab/bench.py
@@ -25,7 +25,7 @@
 
 from stoatgw.emulator.loopback.processes import ProxyProcess
 from stoatgw.lab.compare import interval
-from stoatgw.lab.experiment import LabError
+from stoatgw.lab.errors import LabError
 from stoatgw.lab.tables import Value, write_csv
 
 SERVERS = 8
--- a/stoatgw/lab/charts.py
+++ b/stoatgw/lab/charts.py
@@ -199,7 +199,7 @@
     return _save(figure, path)
 
 
-def draw_upkeep(rows: list[dict[str, Any]], path: Path) -> Path:
+def draw_maintenance(rows: list[dict[str, Any]], path: Path) -> Path:
     """Seconds of a whole maintenance by how many machines may be out, with and without a proxy killed."""
     figure, axes = plt.subplots(figsize=(7, 4))
     for killed, label in ((0, "no fault"), (1, "the proxy that leads is killed halfway")):
@@ -214,7 +214,7 @@
     return _save(figure, path)
 
 
-def draw_sharing(rows: list[dict[str, Any]], path: Path) -> Path:
+def draw_shared_health_checks(rows: list[dict[str, Any]], path: Path) -> Path:
     """Probes a second at all servers together, while one of three proxies is lost and, where it can be, back."""
     figure, axes = plt.subplots(figsize=(7, 4))
     for how in dict.fromkeys(row["how"] for row in rows):
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -24,6 +24,7 @@
 from stoatgw import __version__
 from stoatgw.emulator.world.scenario import Scenario, load
 from stoatgw.lab import runner
+from stoatgw.lab.errors import LabError
 
 FORMAT = 1
 ROOT = Path(__file__).resolve().parent.parent.parent
@@ -31,10 +32,6 @@
 SLOT_STRIDE = 10  # of the networks that one loopback run uses, to the next one's
 
 
-class LabError(ValueError):
-    """The lab cannot do what was asked; the message names the file or folder and why."""
-
-
 class Manifest(msgspec.Struct, kw_only=True):
     format: int
     scenario: str
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -11,7 +11,7 @@
 
 from stoatgw.config.maintenance import MaintenancePlan
 from stoatgw.emulator.loopback.maintenance_run import MaintenanceRun
-from stoatgw.lab.experiment import LabError
+from stoatgw.lab.errors import LabError
 from stoatgw.lab.tables import Value, write_csv
 from stoatgw.maintenance.rollout_state import StepState
 
@@ -20,7 +20,7 @@
 
 def measure(servers: int, bounds: tuple[int, ...], repeats: int, out: Path) -> Iterator[str]:
     """Lines for people; the table goes to OUT/upkeep.csv, the chart to OUT/upkeep.png."""
-    from stoatgw.lab.charts import draw_upkeep
+    from stoatgw.lab.charts import draw_maintenance
 
     if out.exists() and not out.is_dir():
         raise LabError(f"{out}: is no folder")
@@ -48,7 +48,7 @@
             )
             yield ", ".join(f"{name} {value}" for name, value in rows[-1].items())
     write_csv(out / "upkeep.csv", rows)
-    yield str(draw_upkeep(rows, out / "upkeep.png"))
+    yield str(draw_maintenance(rows, out / "upkeep.png"))
 
 
 async def _play(servers: int, bound: int, kill: bool) -> tuple[float, int, int, int, int, int]:
--- a/stoatgw/lab/overview.py
+++ b/stoatgw/lab/overview.py
@@ -8,7 +8,8 @@
 import numpy as np
 
 from stoatgw.lab.compare import interval
-from stoatgw.lab.experiment import LabError, read_results
+from stoatgw.lab.errors import LabError
+from stoatgw.lab.experiment import read_results
 from stoatgw.lab.runner import Result
 from stoatgw.lab.tables import Value, metrics
 
--- a/stoatgw/lab/sharing.py
+++ b/stoatgw/lab/sharing.py
@@ -17,7 +17,7 @@
 from stoatgw.decisions.interface import AttemptStatus
 from stoatgw.emulator.engine.gateway import NotFoundError, answer
 from stoatgw.emulator.engine.store import Store
-from stoatgw.lab.experiment import LabError
+from stoatgw.lab.errors import LabError
 from stoatgw.lab.tables import Value, write_csv
 from stoatgw.membership import etcd_api
 from stoatgw.membership.client import CallFailure
@@ -157,7 +157,7 @@
 
 def measure(sizes: tuple[int, ...], servers: int, out: Path) -> Iterator[str]:
     """Lines for people; tables go to OUT/sharing.csv and OUT/sharing-lost.csv, the chart to OUT/sharing.png."""
-    from stoatgw.lab.charts import draw_sharing
+    from stoatgw.lab.charts import draw_shared_health_checks
 
     if out.exists() and not out.is_dir():
         raise LabError(f"{out}: is no folder")
@@ -205,4 +205,4 @@
             fleet.run(1.0)
             seconds.append({"how": how, "second": second, "probes": len(fleet.probes) - before})
     write_csv(out / "sharing-lost.csv", seconds)
-    yield str(draw_sharing(seconds, out / "sharing.png"))
+    yield str(draw_shared_health_checks(seconds, out / "sharing.png"))
--- a/stoatgw/lab/speed.py
+++ b/stoatgw/lab/speed.py
@@ -13,7 +13,8 @@
 from stoatgw.emulator.virtual.driver import World
 from stoatgw.emulator.world.events import EventSink
 from stoatgw.emulator.world.scenario import Scenario, Shrink
-from stoatgw.lab.experiment import LabError, find_scenario
+from stoatgw.lab.errors import LabError
+from stoatgw.lab.experiment import find_scenario
 from stoatgw.lab.tables import Value, write_csv
 
 LENGTHS_S = {8: 60.0, 100: 30.0}  # larger fleets are played for `LONG_S`
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,7 +19,8 @@
 from stoatgw.emulator.world.streams import Streams
 from stoatgw.lab import runner
 from stoatgw.lab.compare import compare, interval
-from stoatgw.lab.experiment import Experiment, LabError, find_scenario, read_results
+from stoatgw.lab.errors import LabError
+from stoatgw.lab.experiment import Experiment, find_scenario, read_results
 from stoatgw.lab.scorecard import Scorecard, overshoot, recovery_s, spread
 from stoatgw.lab.tables import metrics
 
