--- a/stoatgw/cli/maintain.py
+++ b/stoatgw/cli/maintain.py
@@ -10,7 +10,7 @@
 from msgspec.structs import replace
 
 from stoatgw.config.errors import ConfigError
-from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.maintenance import PROXY_PREFIX, MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.config.operators import load_operator_config
 from stoatgw.maintenance.keys import MaintenanceKeys, StoreSnapshot, read_store_snapshot
@@ -40,14 +40,14 @@
 def plan(path: str) -> int:
     """Check the plan and print what it will do; asks no engine."""
     _, asked = _read(path)
-    servers = [name for name in asked.machines if not name.startswith(PROXY)]
+    servers = [name for name in asked.machines if not name.startswith(PROXY_PREFIX)]
     click.echo(
         f"{asked.name} ({asked.fingerprint}): {len(servers)} session servers, "
-        f"{len(asked.machines) - len(servers)} proxies, done when {asked.done}"
+        f"{len(asked.machines) - len(servers)} proxies, done when {asked.completion}"
     )
     click.echo(
-        f"at once: {asked.out_most} session servers, {asked.zone_share:g} of each zone rounded down, "
-        f"{asked.proxies_out_most} proxies; each at most {asked.step_s:g} s"
+        f"at once: {asked.max_servers_out} session servers, {asked.max_zone_fraction:g} of each zone rounded down, "
+        f"{asked.max_proxies_out} proxies; each at most {asked.step_timeout_s:g} s"
     )
     for place, name in enumerate(asked.machines, 1):
         click.echo(f"{place:4}  {name}")
@@ -61,22 +61,30 @@
     membership, asked = _read(path)
     look = asyncio.run(_look(make_client(membership), MaintenanceKeys(membership.scope, asked.name)))
     names = ", ".join(sorted(member.name for member in look.members.values())) or "none"
-    token = f" (token {look.token})" if look.token else ""
-    click.echo(f"leads: {look.holder or 'nobody'}{token}; proxies at the engine: {names}")
-    ledger = look.ledger
+    token = f" (token {look.fencing_token})" if look.fencing_token else ""
+    click.echo(f"leads: {look.leader or 'nobody'}{token}; proxies at the engine: {names}")
+    ledger = look.rollout
     if ledger is None:
         click.echo("not begun")
         return 0
-    if ledger.plan != asked.fingerprint:
-        click.echo(f"the plan under way is another of this name: {ledger.plan}, the file has {asked.fingerprint}")
+    if ledger.plan_fingerprint != asked.fingerprint:
+        click.echo(
+            f"the plan under way is another of this name: {ledger.plan_fingerprint}, the file has {asked.fingerprint}"
+        )
     count = Counter(step.state for step in ledger.steps.values())
     told = ", ".join(f"{count[state]} {state.value}" for state in StepState if count[state])
     left = sum(name not in ledger.steps for name in asked.machines)
-    ended = "aborted; " if ledger.aborted else "finished; " if ledger.finished else ""
+    ended = "aborted; " if ledger.is_aborted else "finished; " if ledger.is_finished else ""
     click.echo(f"{ended}{told or 'none out yet'}, {left} left of {len(asked.machines)}")
     for name, step in ledger.steps.items():
-        at = datetime.fromtimestamp(step.at_ms / 1000, UTC).strftime("%H:%M:%S")
-        how = " may be worked on" if step.empty else " all proxies have it out" if step.told else " being told"
+        at = datetime.fromtimestamp(step.started_at_ms / 1000, UTC).strftime("%H:%M:%S")
+        how = (
+            " may be worked on"
+            if step.is_evacuated
+            else " all proxies have it out"
+            if step.is_notified
+            else " being told"
+        )
         click.echo(f"  {name:24} {step.state.value:9} since {at} UTC{how if step.state is StepState.OUT else ''}")
     return 1 if count[StepState.LATE] else 0
 
@@ -111,14 +119,14 @@
 async def _abort(engine: CoordinationClient, keys: MaintenanceKeys) -> str:
     for _ in range(ABORT_TRIES):
         look = await _look(engine, keys)
-        if look.ledger is None:
+        if look.rollout is None:
             raise click.ClickException("nothing to abort: it has not begun")
-        if look.ledger.aborted or look.ledger.finished:
+        if look.rollout.is_aborted or look.rollout.is_finished:
             return "it had ended before"
-        write = etcd_api.put(keys.ledger, encode(replace(look.ledger, aborted=True)))
+        write = etcd_api.put(keys.rollout, encode(replace(look.rollout, is_aborted=True)))
         found = await engine.call(
-            etcd_api.TXN, etcd_api.txn([etcd_api.changed_at(keys.ledger, look.ledger_change)], [write])
+            etcd_api.TXN, etcd_api.txn([etcd_api.changed_at(keys.rollout, look.rollout_revision)], [write])
         )
         if not isinstance(found, CallFailure) and etcd_api.read_txn(found).succeeded:
-            return f"aborted; {len(look.ledger.out())} machines are brought back by the proxy that leads"
+            return f"aborted; {len(look.rollout.machines_out())} machines are brought back by the proxy that leads"
     raise click.ClickException("not aborted: the engine did not take it; try again")
--- a/stoatgw/config/maintenance.py
+++ b/stoatgw/config/maintenance.py
@@ -1,4 +1,4 @@
-"""A maintenance plan, as the operators' file holds it, checked by its types and rules."""
+"""The `[maintenance]` table of the operators' file: the plan of a rolling maintenance, checked by its types."""
 
 from __future__ import annotations
 
@@ -11,34 +11,59 @@
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
 Machine = Annotated[str, msgspec.Meta(pattern=r"^(proxy/)?[A-Za-z0-9_.-]{1,128}$")]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=86_400.0)]
-PROXY = "proxy/"  # before the name of a proxy; the others are session servers, by their id
+PROXY_PREFIX = "proxy/"  # before the name of a proxy; the other machines are session servers, by their id
 
+TOML_NAMES = {
+    "max_servers_out": "out_most",
+    "max_zone_fraction": "zone_share",
+    "max_proxies_out": "proxies_out_most",
+    "min_members": "members_least",
+    "completion": "done",
+    "step_timeout_s": "step_s",
+    "min_evacuated_s": "rest_s",
+    "member_loss_timeout_s": "lapsed_s",
+}
 
-class MaintenancePlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Which machines, how many at once, how long each, and what counts as done."""
 
-    name: Name  # another name is another maintenance, begun from the first machine
+class MaintenancePlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=TOML_NAMES):
+    """Which machines, how many at once, how long each, and what counts as done.
+
+    Attributes:
+        name: Names the maintenance: another name is another maintenance, begun from its first machine.
+        machines: Session servers and proxies, in the order in which they are taken out.
+        max_servers_out: How many session servers may be out at once.
+        max_zone_fraction: How much of each zone's session servers may be out at once, rounded down.
+        max_proxies_out: How many proxies may be out at once.
+        min_members: No step begins while fewer proxies are members at the engine.
+        completion: A step is done when nobody uses the machine any more, or when discovery lists a later start.
+        step_timeout_s: After so long a machine is brought back as late.
+        min_evacuated_s: How long a machine stays out once it is evacuated; only with `completion` "empty".
+        settle_s: How long a machine that is back still counts as out, since it may be warming up.
+        member_loss_timeout_s: A proxy that is lost during a step counts as dead after so long.
+    """
+
+    name: Name
     machines: Annotated[tuple[Machine, ...], msgspec.Meta(min_length=1, max_length=5000)]
-    out_most: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # session servers out at once
-    zone_share: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.34  # of each zone's session servers, rounded down
-    proxies_out_most: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
-    members_least: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # no step begins with fewer proxies at the engine
-    done: Literal["empty", "restarted"] = "restarted"  # nobody is on it any more; the list tells of a later start
-    step_s: Annotated[float, msgspec.Meta(ge=1.0, le=86_400.0)] = 300.0  # then it is released as late
-    rest_s: Seconds = 0.0  # with done = "empty": how long it stays out empty
-    settle_s: Seconds = 10.0  # one released counts as out for so long: it may be cold
-    lapsed_s: Seconds = 20.0  # a proxy lost from the engine in a step is taken for dead after so long
+    max_servers_out: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
+    max_zone_fraction: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.34
+    max_proxies_out: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
+    min_members: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
+    completion: Literal["empty", "restarted"] = "restarted"
+    step_timeout_s: Annotated[float, msgspec.Meta(ge=1.0, le=86_400.0)] = 300.0
+    min_evacuated_s: Seconds = 0.0
+    settle_s: Seconds = 10.0
+    member_loss_timeout_s: Seconds = 20.0
 
     def __post_init__(self) -> None:
-        twice = sorted({name for name in self.machines if self.machines.count(name) > 1})
-        if twice:
-            raise ValueError(f"machines: {twice[0]} comes twice")
-        if self.rest_s and self.done != "empty":
+        duplicates = sorted({name for name in self.machines if self.machines.count(name) > 1})
+        if duplicates:
+            raise ValueError(f"machines: {duplicates[0]} comes twice")
+        if self.min_evacuated_s and self.completion != "empty":
             raise ValueError('rest_s: only with done = "empty"')
-        if self.rest_s >= self.step_s:
+        if self.min_evacuated_s >= self.step_timeout_s:
             raise ValueError("rest_s: not under step_s, every machine would be late")
 
     @property
     def fingerprint(self) -> str:
-        """Two proxies with the same name and another fingerprint disagree: the second does nothing."""
+        """Identifies the plan's content: proxies whose plans share a name but not this do not act on each other's."""
         return hashlib.sha256(orjson.dumps(msgspec.to_builtins(self), option=orjson.OPT_SORT_KEYS)).hexdigest()[:16]
--- a/stoatgw/config/operators.py
+++ b/stoatgw/config/operators.py
@@ -42,8 +42,8 @@
         if self.membership is None:
             raise ValueError("membership: missing, and sharing needs an engine to publish by")
         # A published result is up to two polls old when it is read, and may count as one poll older than it is.
-        least_stale_ms = self.shared_health_checks.probe_ms + 3 * self.membership.look_ms
-        if self.shared_health_checks.stale_ms < least_stale_ms:
+        least_stale_ms = self.shared_health_checks.check_interval_ms + 3 * self.membership.poll_interval_ms
+        if self.shared_health_checks.takeover_delay_ms < least_stale_ms:
             raise ValueError("sharing.stale_ms: under probe_ms and three times look_ms: all would always stand in")
 
 
--- a/stoatgw/config/shared_health_checks.py
+++ b/stoatgw/config/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""The settings of shared probing, checked by their types. Only a proxy whose operators turn it on loads this."""
+"""The `[sharing]` table of the operators' file. Only a proxy whose operators turn it on loads this."""
 
 from __future__ import annotations
 
@@ -6,12 +6,27 @@
 
 import msgspec
 
-Span = Annotated[int, msgspec.Meta(ge=50, le=60_000)]
+Milliseconds = Annotated[int, msgspec.Meta(ge=50, le=60_000)]
 
+TOML_NAMES = {
+    "check_interval_ms": "probe_ms",
+    "takeover_delay_ms": "stale_ms",
+    "max_report_age_ms": "take_ms",
+}
 
-class SharedHealthChecksConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Each server is probed by one proxy for all."""
 
-    probe_ms: Span = 250  # each server is probed so often
-    stale_ms: Span = 2_000  # who stands in begins when nothing was heard of a server for so long, the next after twice
-    take_ms: Span = 1_500  # a report that may be older is not handed to the decisions
+class SharedHealthChecksConfig(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=TOML_NAMES
+):
+    """Each session server is health checked by one proxy for all.
+
+    Attributes:
+        check_interval_ms: The interval between two checks of a server, by all proxies together.
+        takeover_delay_ms: When a server has gone unchecked for so long the next proxy in its order takes over, the
+            one after that at twice the delay, and so on.
+        max_report_age_ms: A published result that may be older is not handed to the decisions.
+    """
+
+    check_interval_ms: Milliseconds = 250
+    takeover_delay_ms: Milliseconds = 2_000
+    max_report_age_ms: Milliseconds = 1_500
--- a/stoatgw/emulator/loopback/maintenance_run.py
+++ b/stoatgw/emulator/loopback/maintenance_run.py
@@ -25,7 +25,7 @@
 import msgspec
 
 from stoatgw.config.deployment import Address
-from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.maintenance import PROXY_PREFIX, MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
 from stoatgw.maintenance.keys import MaintenanceKeys, StoreSnapshot, read_store_snapshot
@@ -258,7 +258,7 @@
         self.engine_port = free_port(self.host)
         self.links = [Link(self.host, self.engine_port) for _ in range(proxies)]
         self.membership = MembershipConfig(
-            engine=(f"{self.host}:{self.engine_port}",), lease_s=2, look_ms=100, call_ms=250
+            endpoints=(f"{self.host}:{self.engine_port}",), lease_ttl_s=2, poll_interval_ms=100, call_timeout_ms=250
         )
         self.keys = MaintenanceKeys(self.membership.scope, plan.name)
         self._engine = CoordinationClient([Address(self.host, self.engine_port)], 1.0)
@@ -392,19 +392,19 @@
             await asyncio.sleep(0.03)
 
     async def finished(self) -> RolloutState:
-        look = await self.until(lambda look: look.ledger is not None and look.ledger.finished)
+        look = await self.until(lambda look: look.rollout is not None and look.rollout.is_finished)
         self.ended_s = time.monotonic()
-        assert look.ledger is not None
-        return look.ledger
+        assert look.rollout is not None
+        return look.rollout
 
     def leader(self, look: StoreSnapshot) -> int:
         """The place of the proxy that holds the duty, or -1."""
-        return int(look.holder[1 : look.holder.index("-")]) if look.holder else -1
+        return int(look.leader[1 : look.leader.index("-")]) if look.leader else -1
 
     def ledgers(self) -> list[RolloutState]:
         """Every ledger that the engine has ever held, in order."""
         rows = [json.loads(line) for line in self.history.read_bytes().splitlines()]
-        return [decode(value.encode()) for _, key, value in rows if key == self.keys.ledger]
+        return [decode(value.encode()) for _, key, value in rows if key == self.keys.rollout]
 
     # Those who work on machines, and those who use them.
 
@@ -413,16 +413,16 @@
         begun: set[str] = set()
         while True:
             look = await self.look()
-            for name, step in look.ledger.steps.items() if look is not None and look.ledger is not None else ():
-                if step.state is StepState.OUT and step.empty and name not in begun:
+            for name, step in look.rollout.steps.items() if look is not None and look.rollout is not None else ():
+                if step.state is StepState.OUT and step.is_evacuated and name not in begun:
                     begun.add(name)
                     self.spawn(self._work(name))
             await asyncio.sleep(0.05)
 
     async def _work(self, name: str) -> None:
         self.worked[name] += 1
-        if name.startswith(PROXY):
-            proxy = self.proxies[int(name.removeprefix(PROXY + "n"))]
+        if name.startswith(PROXY_PREFIX):
+            proxy = self.proxies[int(name.removeprefix(PROXY_PREFIX + "n"))]
             await proxy.end(signal.SIGTERM)
             await proxy.start()
             return
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -57,26 +57,35 @@
     plan = MaintenancePlan(
         name="upkeep",
         machines=tuple(f"s-{place}" for place in range(servers)),
-        out_most=bound,
-        zone_share=1.0,
+        max_servers_out=bound,
+        max_zone_fraction=1.0,
         settle_s=0.5,
-        lapsed_s=3.0,
-        step_s=60.0,
+        member_loss_timeout_s=3.0,
+        step_timeout_s=60.0,
     )
     with tempfile.TemporaryDirectory() as folder:
         async with (
             MaintenanceRun(Path(folder), plan, servers=servers, clients=3 * servers) as up,
             asyncio.timeout(LIMIT_S),
         ):
-            await up.until(lambda look: look.ledger is not None and bool(look.ledger.steps))
+            await up.until(lambda look: look.rollout is not None and bool(look.rollout.steps))
             began_s = asyncio.get_running_loop().time()
             if kill:
                 look = await up.until(
-                    lambda look: look.token > 0 and look.ledger is not None and len(look.ledger.steps) >= servers // 2
+                    lambda look: (
+                        look.fencing_token > 0 and look.rollout is not None and len(look.rollout.steps) >= servers // 2
+                    )
                 )
                 await up.kill_proxy(up.leader(look))
             last = await up.finished()
             took_s = asyncio.get_running_loop().time() - began_s
             wrong = sum(up.worked[name] != 1 for name in plan.machines)
             late = sum(step.state is StepState.LATE for step in last.steps.values())
-            return took_s, max(len(each.out()) for each in up.ledgers()), wrong, late, up.tally.lost, up.tally.cut
+            return (
+                took_s,
+                max(len(each.machines_out()) for each in up.ledgers()),
+                wrong,
+                late,
+                up.tally.lost,
+                up.tally.cut,
+            )
--- a/stoatgw/lab/sharing.py
+++ b/stoatgw/lab/sharing.py
@@ -53,7 +53,7 @@
             Random(place),
         )
         # They look at times of their own, as processes that start one after the other do.
-        self.next_look_us = Random(place).randrange(fleet.membership.look_ms * 1000)
+        self.next_look_us = Random(place).randrange(fleet.membership.poll_interval_ms * 1000)
 
     async def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
         if not self.linked:
@@ -73,7 +73,7 @@
 
     def look(self) -> None:
         """A whole look, in no time."""
-        run = self.agent.look()
+        run = self.agent.reconcile()
         try:
             run.send(None)
         except StopIteration:
@@ -86,8 +86,12 @@
         self, proxies: int, servers: int, look_ms: int = 200, probe_ms: int = 250, stale_ms: int = 900
     ) -> None:
         self.now_us, self.store, self._names = 1_000_000, Store(), [f"s-{place}" for place in range(servers)]
-        self.membership = MembershipConfig(engine=("127.0.0.1:1",), lease_s=3, look_ms=look_ms, call_ms=300)
-        self.sharing = SharedHealthChecksConfig(probe_ms=probe_ms, stale_ms=stale_ms, take_ms=1_500)
+        self.membership = MembershipConfig(
+            endpoints=("127.0.0.1:1",), lease_ttl_s=3, poll_interval_ms=look_ms, call_timeout_ms=300
+        )
+        self.sharing = SharedHealthChecksConfig(
+            check_interval_ms=probe_ms, takeover_delay_ms=stale_ms, max_report_age_ms=1_500
+        )
         self.probes: list[tuple[int, str]] = []
         self._marked_us, self.calls, self.bytes = self.now_us, 0, 0
         self.proxies = [Proxy(self, place) for place in range(proxies)]
@@ -111,9 +115,9 @@
                 if not proxy.alive or proxy.frozen:
                     continue
                 if self.now_us >= proxy.next_look_us:
-                    proxy.next_look_us = self.now_us + self.membership.look_ms * 1000
+                    proxy.next_look_us = self.now_us + self.membership.poll_interval_ms * 1000
                     proxy.look()
-                proxy.agent.tick()
+                proxy.agent.start_due_checks()
 
     def mark(self) -> None:
         """Figures count from now on."""
--- a/stoatgw/maintenance/controller.py
+++ b/stoatgw/maintenance/controller.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.maintenance import PROXY_PREFIX, MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.maintenance.keys import MaintenanceKeys, MemberStatus, StoreSnapshot, read_store_snapshot
 from stoatgw.maintenance.rollout_planner import FleetSnapshot, MachineStatus, RolloutChange, RolloutPlanner
@@ -28,17 +28,17 @@
 class ProxyActions(Protocol):
     """What the agent does to its own proxy, and sees through it."""
 
-    def take_out(self, servers: dict[str, int]) -> None:
+    def set_servers_out(self, servers: dict[str, int]) -> None:
         """These session servers are out for the maintenance, since then (us); all others are not."""
 
-    def drain(self) -> None: ...
+    def start_drain(self) -> None: ...
 
     def cancel_drain(self) -> None: ...
 
-    def connections_to(self, server: str) -> int:
+    def count_connections(self, server: str) -> int:
         """Connections of this proxy there, standing or under way."""
 
-    def clients(self) -> int: ...
+    def count_clients(self) -> int: ...
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
         """The session servers as discovery tells them; empty while it has told nothing."""
@@ -62,13 +62,13 @@
         """`now_us`: monotonic. `unix_us` only marks times for people, and this process's start. `nonce`: another for
         each process, so that a name used twice, or again after a crash, is not taken for one holder."""
         self._plan, self._engine, self._hands, self._log, self._draws = plan, engine, hands, log, draws
-        self._now_us, self._unix_us, self._pause_s = now_us, unix_us, told.look_ms / 1000
+        self._now_us, self._unix_us, self._pause_s = now_us, unix_us, told.poll_interval_ms / 1000
         self._keys, self._name, self._start_ms = MaintenanceKeys(told.scope, plan.name), name, unix_us() // 1000
         self._identity = f"{name}-{nonce}"
         value = self._identity.encode()
-        self._place = LeaseHolder(engine, self._keys.member(self._identity), value, told.lease_s, now_us)
-        self._duty = LeaseHolder(engine, self._keys.duty, value, told.lease_s, now_us)
-        self._lease_us = told.lease_s * 1_000_000
+        self._place = LeaseHolder(engine, self._keys.member(self._identity), value, told.lease_ttl_s, now_us)
+        self._duty = LeaseHolder(engine, self._keys.leader_lease, value, told.lease_ttl_s, now_us)
+        self._lease_us = told.lease_ttl_s * 1_000_000
         self._record = RolloutStateFile(Path(folder), plan.name) if folder else None
         self._steward = RolloutPlanner(plan)
         self._ledger: RolloutState | None = None
@@ -101,9 +101,9 @@
             await asyncio.sleep(self._pause_s * self._draws.uniform(0.8, 1.2))
 
     @property
-    def token(self) -> int:
+    def fencing_token(self) -> int:
         """Of the duty, while this agent may act under it; else 0."""
-        return self._duty.token()
+        return self._duty.fencing_token()
 
     async def stop(self) -> None:
         """The process is stopping: another may hold the duty from now on. Its place ends with its lease."""
@@ -113,7 +113,7 @@
     async def reconcile(self) -> None:
         """One look at the engine, and what follows from it."""
         if self._place.is_due:
-            self._heard(await self._place.step())
+            self._heard(await self._place.send_next_call())
         found = await self._engine.call(etcd_api.RANGE, etcd_api.under(self._keys.prefix))
         if isinstance(found, CallFailure):
             self._heard(found)
@@ -128,15 +128,15 @@
             return
         await self._say()
         if self._leads and self._duty.is_due:
-            before = self._duty.token()
-            await self._duty.step()
-            token = self._duty.token()
+            before = self._duty.fencing_token()
+            await self._duty.send_next_call()
+            token = self._duty.fencing_token()
             if token and token != before:
                 self._steward, self._held_since_us = RolloutPlanner(self._plan), self._now_us()
                 self._log.event("maintenance_leadership_acquired", token=token, identity=self._identity)
             elif before and not token:
                 self._log.event("maintenance_leadership_lost", token=before)
-        if self._duty.token():
+        if self._duty.fencing_token():
             await self._lead(look)
 
     def _heard(self, fault: CallFailure | None) -> None:
@@ -162,13 +162,13 @@
             return False
         self._note("maintenance_stale", "")
         self._revision = look.revision
-        if look.ledger is None:
+        if look.rollout is None:
             gone = self._ledger is not None
             self._note("maintenance_halted", "the engine has lost the ledger" if gone else "")
             return not gone
         self._note("maintenance_halted", "")
-        if look.ledger_change != self._change:
-            self._change, self._ledger = look.ledger_change, look.ledger
+        if look.rollout_revision != self._change:
+            self._change, self._ledger = look.rollout_revision, look.rollout
             self._keep()
             self._apply()
         return True
@@ -184,14 +184,14 @@
 
     def _apply(self) -> None:
         """Take out what is out; bring back what is not any more."""
-        out = self._ledger.out() if self._ledger is not None else []
-        now_us, me = self._unix_us(), PROXY + self._name
-        self._out_us = {name: self._out_us.get(name, now_us) for name in out if not name.startswith(PROXY)}
-        self._hands.take_out(self._out_us)
+        out = self._ledger.machines_out() if self._ledger is not None else []
+        now_us, me = self._unix_us(), PROXY_PREFIX + self._name
+        self._out_us = {name: self._out_us.get(name, now_us) for name in out if not name.startswith(PROXY_PREFIX)}
+        self._hands.set_servers_out(self._out_us)
         # A process that began later is what its proxy was taken out for. Both times are by this machine's clock.
-        mine = me in out and self._ledger is not None and self._start_ms <= self._ledger.steps[me].start_ms
+        mine = me in out and self._ledger is not None and self._start_ms <= self._ledger.steps[me].machine_start_ms
         if mine and not self._drained:
-            self._hands.drain()
+            self._hands.start_drain()
         elif self._drained and not mine:
             self._hands.cancel_drain()
         self._drained = mine
@@ -199,15 +199,17 @@
     def _empty(self, out: Iterable[str]) -> list[str]:
         hands = self._hands
         return [
-            name for name in out if (hands.clients() if name.startswith(PROXY) else hands.connections_to(name)) == 0
+            name
+            for name in out
+            if (hands.count_clients() if name.startswith(PROXY_PREFIX) else hands.count_connections(name)) == 0
         ]
 
     async def _say(self) -> None:
         """Tell under our own place what is out here, and what of it has nobody on it."""
-        token = self._place.token()
+        token = self._place.fencing_token()
         if not token:
             return
-        told = [*self._out_us, *([PROXY + self._name] if self._drained else [])]
+        told = [*self._out_us, *([PROXY_PREFIX + self._name] if self._drained else [])]
         # What is told now was taken out in an earlier look or in this one: who is under way counts as there.
         empty = self._empty(name for name in told if name in self._told_before)
         self._told_before = set(told)
@@ -216,7 +218,7 @@
             return
         write = etcd_api.txn(
             [etcd_api.made_at(self._place.key, token)],
-            [etcd_api.put(self._keys.told(self._identity), data, self._place.lease)],
+            [etcd_api.put(self._keys.member_status(self._identity), data, self._place.lease_id)],
         )
         found = await self._engine.call(etcd_api.TXN, write)
         if not isinstance(found, CallFailure) and etcd_api.read_txn(found).succeeded:
@@ -224,8 +226,8 @@
 
     async def _lead(self, look: StoreSnapshot) -> None:
         """Write the next step, if one is due. The engine takes it only from the duty's holder, on the ledger seen."""
-        ledger = look.ledger
-        if ledger is not None and ledger.plan != self._plan.fingerprint:
+        ledger = look.rollout
+        if ledger is not None and ledger.plan_fingerprint != self._plan.fingerprint:
             self._note("maintenance_plan_differs", f"another plan of the name {self._plan.name} is under way")
             return
         self._note("maintenance_plan_differs", "")
@@ -236,22 +238,27 @@
             # Whoever has seen a ledger that the engine lost has come back and halted within a lease.
             if self._now_us() - self._held_since_us < self._lease_us:
                 return
-            change: RolloutChange | None = RolloutChange(RolloutState(plan=self._plan.fingerprint), "begun")
+            change: RolloutChange | None = RolloutChange(RolloutState(plan_fingerprint=self._plan.fingerprint), "begun")
         else:
-            change = self._steward.next(ledger, FleetSnapshot(machines, look.members), self._now_us())
-            waits = change is None and not ledger.out() and self._steward.blocked
+            change = self._steward.next_change(ledger, FleetSnapshot(machines, look.members), self._now_us())
+            waits = change is None and not ledger.machines_out() and self._steward.blocked_reason
             self._blocked_us = (self._blocked_us or self._now_us()) if waits else 0
             lasts = waits and self._now_us() - self._blocked_us > BLOCKED_US + self._plan.settle_s * 1e6
-            self._note("maintenance_blocked", self._steward.blocked if lasts else "")
+            self._note("maintenance_blocked", self._steward.blocked_reason if lasts else "")
         if change is None:
             return
-        fresh, token = change.ledger, self._duty.token()
+        fresh, token = change.state, self._duty.fencing_token()
         if change.event == "step_out":
-            step = msgspec.structs.replace(fresh.steps[change.machine], token=token, at_ms=self._unix_us() // 1000)
+            step = msgspec.structs.replace(
+                fresh.steps[change.machine], token=token, started_at_ms=self._unix_us() // 1000
+            )
             fresh = fresh.with_step(change.machine, step)
         write = etcd_api.txn(
-            [etcd_api.made_at(self._keys.duty, token), etcd_api.changed_at(self._keys.ledger, look.ledger_change)],
-            [etcd_api.put(self._keys.ledger, encode(fresh))],
+            [
+                etcd_api.made_at(self._keys.leader_lease, token),
+                etcd_api.changed_at(self._keys.rollout, look.rollout_revision),
+            ],
+            [etcd_api.put(self._keys.rollout, encode(fresh))],
         )
         if not token:  # asked right before the act
             return
--- a/stoatgw/maintenance/keys.py
+++ b/stoatgw/maintenance/keys.py
@@ -11,14 +11,16 @@
 from stoatgw.maintenance.rollout_state import RolloutState, decode
 from stoatgw.membership.etcd_api import RangeSnapshot
 
+MEMBER_FIELDS = {"machines_out": "told", "machines_evacuated": "empty"}
 
-class MemberStatus(msgspec.Struct, frozen=True):
+
+class MemberStatus(msgspec.Struct, frozen=True, rename=MEMBER_FIELDS):
     """What a proxy says of itself, under its own key."""
 
     name: str
     start_ms: int
-    told: tuple[str, ...] = ()
-    empty: tuple[str, ...] = ()
+    machines_out: tuple[str, ...] = ()
+    machines_evacuated: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,17 +33,17 @@
         return f"{self.scope}/maintenance/{self.plan}/"
 
     @property
-    def ledger(self) -> str:
+    def rollout(self) -> str:
         return self.prefix + "ledger"
 
     @property
-    def duty(self) -> str:
+    def leader_lease(self) -> str:
         return self.prefix + "duty"
 
     def member(self, identity: str) -> str:
         return f"{self.prefix}members/{identity}"
 
-    def told(self, identity: str) -> str:
+    def member_status(self, identity: str) -> str:
         return f"{self.prefix}told/{identity}"
 
 
@@ -50,26 +52,28 @@
     """All keys of a maintenance, read at one revision."""
 
     revision: int
-    ledger: RolloutState | None
-    ledger_change: int  # the revision of its last change; 0 without one
-    holder: str  # identity; "" where nobody holds the duty
-    token: int
+    rollout: RolloutState | None
+    rollout_revision: int  # the revision of its last change; 0 without one
+    leader: str  # identity; "" where nobody holds the duty
+    fencing_token: int
     members: Mapping[str, ProxyMember]
 
 
 def read_store_snapshot(keys: MaintenanceKeys, view: RangeSnapshot) -> StoreSnapshot:
     """Raises LedgerError for a ledger that cannot be read; a member that cannot be read counts as none."""
-    pair, duty = view.get(keys.ledger), view.get(keys.duty)
+    pair, duty = view.get(keys.rollout), view.get(keys.leader_lease)
     members: dict[str, ProxyMember] = {}
     places = keys.member("")
     for each in view.entries:
         identity = each.key.removeprefix(places)
         if identity == each.key:
             continue
-        said = view.get(keys.told(identity))
+        said = view.get(keys.member_status(identity))
         # One that has a place and said nothing yet has nothing out.
         told = _read_told(said.value) if said is not None else MemberStatus(identity, 0)
-        members[identity] = ProxyMember(told.name, told.start_ms, frozenset(told.told), frozenset(told.empty))
+        members[identity] = ProxyMember(
+            told.name, told.start_ms, frozenset(told.machines_out), frozenset(told.machines_evacuated)
+        )
     return StoreSnapshot(
         view.revision,
         decode(pair.value) if pair is not None else None,
--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -28,7 +28,7 @@
         self._deployment, self._context, self._owner = deployment, context, owner
         self._director, self._outs, self._log = director, outs, log
 
-    def take_out(self, servers: dict[str, int]) -> None:
+    def set_servers_out(self, servers: dict[str, int]) -> None:
         if servers != self._outs.overrides.suspensions_from(SuspensionSource.MAINTENANCE):
             self._outs.apply(
                 servers,
@@ -36,7 +36,7 @@
                 min(EVACUATION_DURATION_US, self._deployment.settings.drain_grace_us),
             )
 
-    def drain(self) -> None:
+    def start_drain(self) -> None:
         start_drain(self._context, self._owner, self._log)
 
     def cancel_drain(self) -> None:
@@ -44,10 +44,10 @@
             self._log.event("drain_cancelled")
             self._owner.post(CancelDrain())
 
-    def connections_to(self, server: str) -> int:
+    def count_connections(self, server: str) -> int:
         return self._owner.connections_to(server)
 
-    def clients(self) -> int:
+    def count_clients(self) -> int:
         return len(self._context.established_sessions)
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
--- a/stoatgw/maintenance/rollout_planner.py
+++ b/stoatgw/maintenance/rollout_planner.py
@@ -13,7 +13,7 @@
 
 from msgspec.structs import replace
 
-from stoatgw.config.maintenance import PROXY, MaintenancePlan
+from stoatgw.config.maintenance import PROXY_PREFIX, MaintenancePlan
 from stoatgw.maintenance.rollout_state import RolloutState, RolloutStep, StepState
 
 
@@ -22,7 +22,7 @@
     """A session server as discovery tells it, or a proxy as the engine does."""
 
     zone: str
-    up: bool
+    is_serving: bool
     start_ms: int
 
 
@@ -32,8 +32,8 @@
 
     name: str
     start_ms: int
-    told: frozenset[str] = frozenset()
-    empty: frozenset[str] = frozenset()
+    machines_out: frozenset[str] = frozenset()
+    machines_evacuated: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,9 +44,9 @@
     members: Mapping[str, ProxyMember]
 
     def find(self, name: str) -> MachineStatus | None:
-        if not name.startswith(PROXY):
+        if not name.startswith(PROXY_PREFIX):
             return self.machines.get(name)
-        named = [each for each in self.members.values() if PROXY + each.name == name]
+        named = [each for each in self.members.values() if PROXY_PREFIX + each.name == name]
         return MachineStatus("", True, max(each.start_ms for each in named)) if named else None
 
 
@@ -54,7 +54,7 @@
 class RolloutChange:
     """A ledger to write, and what happened, for the log."""
 
-    ledger: RolloutState
+    state: RolloutState
     event: str
     machine: str = ""
 
@@ -63,26 +63,26 @@
     def __init__(self, plan: MaintenancePlan) -> None:
         self._plan = plan
         self._seen_us: dict[tuple[str, str], int] = {}
-        self.blocked = ""  # why no step begins though machines are left
+        self.blocked_reason = ""  # why no step begins though machines are left
 
     def _age_s(self, now_us: int, machine: str, what: str) -> float:
         """Since this was first seen to be so."""
         return (now_us - self._seen_us.setdefault((machine, what), now_us)) / 1e6
 
-    def next(self, ledger: RolloutState, sight: FleetSnapshot, now_us: int) -> RolloutChange | None:
+    def next_change(self, ledger: RolloutState, sight: FleetSnapshot, now_us: int) -> RolloutChange | None:
         """The next change, if one is due."""
-        self.blocked = ""
+        self.blocked_reason = ""
         for name, step in ledger.steps.items():
             if step.state is StepState.OUT:
                 if (change := self._go_on(ledger, name, step, sight, now_us)) is not None:
                     return change
             else:
                 self._age_s(now_us, name, "ended")
-        if ledger.aborted or ledger.finished:
+        if ledger.is_aborted or ledger.is_finished:
             return None
         left = [name for name in self._plan.machines if name not in ledger.steps]
-        if not left and not ledger.out():
-            return RolloutChange(replace(ledger, finished=True), "finished")
+        if not left and not ledger.machines_out():
+            return RolloutChange(replace(ledger, is_finished=True), "finished")
         return self._begin(ledger, left, sight, now_us) if left else None
 
     def _go_on(
@@ -93,28 +93,28 @@
         def end(state: StepState) -> RolloutChange:
             return RolloutChange(ledger.with_step(name, replace(step, state=state)), f"step_{state.value}", name)
 
-        if ledger.aborted:
+        if ledger.is_aborted:
             return end(StepState.RELEASED)
         machine = sight.find(name)
         # A proxy's new process is not the one that was sent away: there is nothing left to wait for.
-        by_start = plan.done == "restarted" or name.startswith(PROXY)
-        if by_start and machine is not None and machine.up and machine.start_ms > step.start_ms:
+        by_start = plan.completion == "restarted" or name.startswith(PROXY_PREFIX)
+        if by_start and machine is not None and machine.is_serving and machine.start_ms > step.machine_start_ms:
             return end(StepState.DONE)
-        if age_s >= plan.step_s:
+        if age_s >= plan.step_timeout_s:
             return end(StepState.LATE)
         concerned = self._concerned(name, sight)
         here = {each: sight.members[each] for each in concerned}
-        if not step.empty and self._waits_for_lost(name, step, sight, now_us):
+        if not step.is_evacuated and self._waits_for_lost(name, step, sight, now_us):
             return None
-        if not step.told:
-            if not all(name in each.told for each in here.values()):
+        if not step.is_notified:
+            if not all(name in each.machines_out for each in here.values()):
                 return None
-            return RolloutChange(ledger.with_step(name, replace(step, told=True)), "step_told", name)
-        if not step.empty:
-            if not all(name in each.empty for each in here.values()):
+            return RolloutChange(ledger.with_step(name, replace(step, is_notified=True)), "step_told", name)
+        if not step.is_evacuated:
+            if not all(name in each.machines_evacuated for each in here.values()):
                 return None
-            return RolloutChange(ledger.with_step(name, replace(step, empty=True)), "step_empty", name)
-        if plan.done == "empty" and self._age_s(now_us, name, "empty") >= plan.rest_s:
+            return RolloutChange(ledger.with_step(name, replace(step, is_evacuated=True)), "step_empty", name)
+        if plan.completion == "empty" and self._age_s(now_us, name, "empty") >= plan.min_evacuated_s:
             return end(StepState.DONE)
         return None
 
@@ -122,53 +122,55 @@
         """One that was at the engine when the step began and is lost is dead, or cut off and serves on: which, nobody
         can tell. It is taken for dead after a time in which one that knew has sent its clients away."""
         waits = False
-        for identity in step.must:
+        for identity in step.expected_members:
             if identity in sight.members:
                 self._seen_us.pop((name, identity), None)
             else:
-                waits |= self._age_s(now_us, name, identity) < self._plan.lapsed_s
+                waits |= self._age_s(now_us, name, identity) < self._plan.member_loss_timeout_s
         return waits
 
     def _concerned(self, name: str, sight: FleetSnapshot) -> list[str]:
         """A session server concerns all proxies, a proxy itself."""
-        if not name.startswith(PROXY):
+        if not name.startswith(PROXY_PREFIX):
             return sorted(sight.members)
-        return sorted(each for each, member in sight.members.items() if PROXY + member.name == name)
+        return sorted(each for each, member in sight.members.items() if PROXY_PREFIX + member.name == name)
 
     def _begin(self, ledger: RolloutState, left: list[str], sight: FleetSnapshot, now_us: int) -> RolloutChange | None:
         plan = self._plan
-        if len(sight.members) < plan.members_least:
-            self.blocked = f"{len(sight.members)} proxies at the engine, under members_least"
+        if len(sight.members) < plan.min_members:
+            self.blocked_reason = f"{len(sight.members)} proxies at the engine, under members_least"
             return None
         out = self._away(ledger, sight, now_us)
         size = Counter(machine.zone for machine in sight.machines.values())
         away = Counter(machine.zone for name, machine in sight.machines.items() if name in out)
-        servers = sum(not name.startswith(PROXY) for name in out)
+        servers = sum(not name.startswith(PROXY_PREFIX) for name in out)
         for name in left:
             machine = sight.find(name)
-            if machine is None or not machine.up:
-                self.blocked = f"{name} is not in service, or not told of"
-            elif name.startswith(PROXY):
-                if len(out) - servers < plan.proxies_out_most:
+            if machine is None or not machine.is_serving:
+                self.blocked_reason = f"{name} is not in service, or not told of"
+            elif name.startswith(PROXY_PREFIX):
+                if len(out) - servers < plan.max_proxies_out:
                     return self._out(ledger, name, machine, sight)
-                self.blocked = "proxies_out_most proxies are out"
-            elif servers >= plan.out_most:
-                self.blocked = "out_most session servers are out"
-            elif away[machine.zone] + 1 > floor(plan.zone_share * size[machine.zone] + 1e-9):
-                self.blocked = f"zone_share of {machine.zone or 'its zone'} is out, or allows none"
+                self.blocked_reason = "proxies_out_most proxies are out"
+            elif servers >= plan.max_servers_out:
+                self.blocked_reason = "out_most session servers are out"
+            elif away[machine.zone] + 1 > floor(plan.max_zone_fraction * size[machine.zone] + 1e-9):
+                self.blocked_reason = f"zone_share of {machine.zone or 'its zone'} is out, or allows none"
             else:
                 return self._out(ledger, name, machine, sight)
         return None
 
     def _away(self, ledger: RolloutState, sight: FleetSnapshot, now_us: int) -> set[str]:
         """All that serves nobody now: out by a step, just back and cold, or down by itself."""
-        away = set(ledger.out())
+        away = set(ledger.machines_out())
         for name, step in ledger.steps.items():
             if step.state is not StepState.OUT and self._age_s(now_us, name, "ended") < self._plan.settle_s:
                 away.add(name)
-        return away | {name for name, machine in sight.machines.items() if not machine.up}
+        return away | {name for name, machine in sight.machines.items() if not machine.is_serving}
 
     def _out(self, ledger: RolloutState, name: str, machine: MachineStatus, sight: FleetSnapshot) -> RolloutChange:
         must = tuple(self._concerned(name, sight))
-        step = RolloutStep(state=StepState.OUT, token=0, at_ms=0, start_ms=machine.start_ms, must=must)
+        step = RolloutStep(
+            state=StepState.OUT, token=0, started_at_ms=0, machine_start_ms=machine.start_ms, expected_members=must
+        )
         return RolloutChange(ledger.with_step(name, step), "step_out", name)
--- a/stoatgw/maintenance/rollout_state.py
+++ b/stoatgw/maintenance/rollout_state.py
@@ -26,25 +26,35 @@
     RELEASED = "released"  # the maintenance was aborted while it was out
 
 
-class RolloutStep(msgspec.Struct, frozen=True, kw_only=True):
+STEP_FIELDS = {
+    "started_at_ms": "at_ms",
+    "machine_start_ms": "start_ms",
+    "expected_members": "must",
+    "is_notified": "told",
+    "is_evacuated": "empty",
+}
+STATE_FIELDS = {"plan_fingerprint": "plan", "is_aborted": "aborted", "is_finished": "finished"}
+
+
+class RolloutStep(msgspec.Struct, frozen=True, kw_only=True, rename=STEP_FIELDS):
     """A machine's turn. Which times have passed is for each steward's own clock; `at_ms` is for people."""
 
     state: StepState
     token: int  # of the duty under which it began
-    at_ms: int
-    start_ms: int  # when the machine had started, as it was told at the beginning
-    must: tuple[str, ...]  # proxies at the engine then, by identity
-    told: bool = False  # all of them have it out
-    empty: bool = False  # and none has anybody on it: it may be worked on
+    started_at_ms: int
+    machine_start_ms: int  # when the machine had started, as it was told at the beginning
+    expected_members: tuple[str, ...]  # proxies at the engine then, by identity
+    is_notified: bool = False  # all of them have it out
+    is_evacuated: bool = False  # and none has anybody on it: it may be worked on
 
 
-class RolloutState(msgspec.Struct, frozen=True, kw_only=True):
-    plan: str  # fingerprint
+class RolloutState(msgspec.Struct, frozen=True, kw_only=True, rename=STATE_FIELDS):
+    plan_fingerprint: str  # fingerprint
     steps: dict[str, RolloutStep] = {}
-    aborted: bool = False
-    finished: bool = False
+    is_aborted: bool = False
+    is_finished: bool = False
 
-    def out(self) -> list[str]:
+    def machines_out(self) -> list[str]:
         return [name for name, step in self.steps.items() if step.state is StepState.OUT]
 
     def with_step(self, name: str, step: RolloutStep) -> RolloutState:
--- a/stoatgw/maintenance/service.py
+++ b/stoatgw/maintenance/service.py
@@ -8,32 +8,28 @@
 import time
 
 from stoatgw.clients.context import ProxyContext
-from stoatgw.clock import Clock
-from stoatgw.config.deployment import Deployment
 from stoatgw.config.maintenance import MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
-from stoatgw.controller.controller import Controller
 from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.maintenance.controller import MaintenanceController
 from stoatgw.maintenance.proxy_actions import LocalProxyActions
 from stoatgw.membership.client import make_client
 from stoatgw.suspension.applier import SuspensionApplier
 from stoatgw.suspension.overrides import EndpointOverrides
-from stoatgw.telemetry.log import EventLog
 
 
 def make_maintenance_controller(
     membership: MembershipConfig,
     plan: MaintenancePlan,
-    deployment: Deployment,
     context: ProxyContext,
-    owner: Controller,
     director: DiscoveryClient,
     overlay: EndpointOverrides,
-    clock: Clock,
-    log: EventLog,
 ) -> MaintenanceController:
     """Raises ConfigError."""
+    deployment = context.deployment
+    owner = context.controller
+    clock = context.clock
+    log = context.log
     engine = make_client(membership, deployment.settings.rank)
     hands = LocalProxyActions(
         deployment, context, owner, director, SuspensionApplier(overlay, director, owner, clock, log), log
--- a/stoatgw/membership/client.py
+++ b/stoatgw/membership/client.py
@@ -118,5 +118,5 @@
 def make_client(told: MembershipConfig, first: int = 0) -> CoordinationClient:
     """Raises ConfigError."""
     return CoordinationClient(
-        [parse_address(each, "membership.engine") for each in told.engine], told.call_ms / 1000, first
+        [parse_address(each, "membership.engine") for each in told.endpoints], told.call_timeout_ms / 1000, first
     )
--- a/stoatgw/membership/etcd_api.py
+++ b/stoatgw/membership/etcd_api.py
@@ -29,7 +29,7 @@
     value: bytes
     create_revision: int
     mod_revision: int
-    lease: int
+    lease_id: int
 
 
 @dataclass(frozen=True, slots=True)
--- a/stoatgw/membership/lease_holder.py
+++ b/stoatgw/membership/lease_holder.py
@@ -28,18 +28,18 @@
         self._engine, self.key, self._value = engine, key, value
         self._lease_s, self._now_us = lease_s, now_us
         self._claim, self._asked_us = LeaseState(GUARD_US), -(10**12)
-        self.lease = 0
+        self.lease_id = 0
 
     @property
     def is_due(self) -> bool:
         """Whether a call is due: often enough that one or two may be lost."""
         return self._now_us() - self._asked_us >= self._lease_s * 1_000_000 // RENEWALS
 
-    def token(self) -> int:
+    def fencing_token(self) -> int:
         """The token to act under now, or 0. To be asked right before each act."""
         return self._claim.valid_token(self._now_us())
 
-    async def step(self) -> CallFailure | None:
+    async def send_next_call(self) -> CallFailure | None:
         """The next call; gives the fault if it was not answered."""
         self._asked_us = self._now_us()
         self._claim, ask = self._claim.next_call(self._asked_us)
@@ -51,7 +51,7 @@
                     answer = await self._acquire()
                 case LeaseCall.RENEW:
                     answer = await self._renew()
-                case LeaseCall.LOOK:
+                case LeaseCall.LOOKUP:
                     answer = await self._look()
         except _FaultError as error:
             fault = error.fault
@@ -62,7 +62,7 @@
 
     async def release(self) -> None:
         """Give it up, so that another need not wait for the lease's end. A lost call costs just that wait."""
-        lease, self.lease = self.lease, 0
+        lease, self.lease_id = self.lease_id, 0
         self._claim = LeaseState(GUARD_US)
         if lease:
             await self._engine.call(etcd_api.REVOKE, etcd_api.of_lease(lease))
@@ -75,7 +75,7 @@
 
     async def _acquire(self) -> LeaseResult:
         lease, ttl_s = etcd_api.read_grant(await self._call(etcd_api.GRANT, etcd_api.grant(self._lease_s)))
-        self.lease = lease
+        self.lease_id = lease
         put = etcd_api.put(self.key, self._value, lease)
         take = etcd_api.txn([etcd_api.made_at(self.key, 0)], [put], [etcd_api.read(self.key)])
         end = etcd_api.read_txn(await self._call(etcd_api.TXN, take))
@@ -85,11 +85,11 @@
         if pair is not None and pair.value == self._value:
             return LeaseOutcomeUnknown()  # an acquire that was given up has won after all: it is looked up next
         await self._engine.call(etcd_api.REVOKE, etcd_api.of_lease(lease))
-        self.lease = 0
+        self.lease_id = 0
         return LeaseDenied()
 
     async def _renew(self) -> LeaseResult:
-        ttl_s = etcd_api.read_keep_alive(await self._call(etcd_api.KEEP_ALIVE, etcd_api.of_lease(self.lease)))
+        ttl_s = etcd_api.read_keep_alive(await self._call(etcd_api.KEEP_ALIVE, etcd_api.of_lease(self.lease_id)))
         return LeaseGranted(self._claim.token, ttl_s * 1_000_000) if ttl_s else LeaseDenied()
 
     async def _look(self) -> LeaseResult:
@@ -97,7 +97,7 @@
         pair = found.get(self.key)
         if pair is None or pair.value != self._value:
             return LeaseDenied()
-        self.lease = pair.lease
+        self.lease_id = pair.lease_id
         return LeaseFound(pair.create_revision)
 
 
--- a/stoatgw/membership/lease_state.py
+++ b/stoatgw/membership/lease_state.py
@@ -16,7 +16,7 @@
 
     ACQUIRE = "acquire"  # take the duty if nobody holds it
     RENEW = "renew"  # hold it for one more term, if it is still held under this token
-    LOOK = "look"  # whether an acquire that was not answered has won
+    LOOKUP = "look"  # whether an acquire that was not answered has won
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,13 +61,13 @@
     def next_call(self, now_us: int) -> tuple[LeaseState, LeaseCall]:
         """The next call, sent now. One that was out is given up: its answer must not be handed in any more."""
         due = (
-            LeaseCall.LOOK
+            LeaseCall.LOOKUP
             if self.is_uncertain or self.pending_call is LeaseCall.ACQUIRE
             else LeaseCall.RENEW
             if self.token
             else LeaseCall.ACQUIRE
         )
-        return replace(self, pending_call=due, sent_us=now_us, is_uncertain=due is LeaseCall.LOOK), due
+        return replace(self, pending_call=due, sent_us=now_us, is_uncertain=due is LeaseCall.LOOKUP), due
 
     def record_result(self, answer: LeaseResult) -> LeaseState:
         """The call that is out has ended so."""
@@ -77,7 +77,7 @@
                 return replace(
                     done, token=token, valid_until_us=self.sent_us + term_us - self.guard_us, is_uncertain=False
                 )
-            case LeaseFound(token) if asked is LeaseCall.LOOK:
+            case LeaseFound(token) if asked is LeaseCall.LOOKUP:
                 # Its term began at an unknown time: it must be renewed before it may act.
                 return replace(done, token=token, valid_until_us=0, is_uncertain=False)
             case LeaseOutcomeUnknown():
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -124,16 +124,19 @@
     columns = LoadReportSchema(settings.report_columns)
     sharing = None
     if operators is not None and operators.membership is not None and operators.shared_health_checks is not None:
+        from stoatgw.shared_health_checks.checker import ProxyHooks
         from stoatgw.shared_health_checks.service import make_shared_health_checker
 
         sharing = make_shared_health_checker(
             operators.membership,
             operators.shared_health_checks,
             deployment,
-            owner,
+            ProxyHooks(
+                queue=owner,
+                start_check=lambda name: backstage.check_health_now(name),  # noqa: PLW0108 (it comes later)
+                list_servers=lambda: [entry.name for entry in director.publisher.endpoints()],
+            ),
             log,
-            lambda name: backstage.check_health_now(name),  # noqa: PLW0108 (it comes later)
-            lambda: [entry.name for entry in director.publisher.endpoints()],
         )
     prober = HealthChecker(sharing or owner, clock, columns, deployment.dial_timeout_us, counters)
     overlay = EndpointOverrides()
@@ -181,9 +184,7 @@
     if operators is not None and operators.membership is not None and operators.maintenance is not None:
         from stoatgw.maintenance.service import make_maintenance_controller
 
-        agent = make_maintenance_controller(
-            operators.membership, operators.maintenance, deployment, context, owner, director, overlay, clock, log
-        )
+        agent = make_maintenance_controller(operators.membership, operators.maintenance, context, director, overlay)
         agent.start()
     director.load_snapshot(deployment.initial_endpoints)
     backstage = ServiceGateway(backends, prober, director)
--- a/stoatgw/shared_health_checks/assignment.py
+++ b/stoatgw/shared_health_checks/assignment.py
@@ -11,7 +11,7 @@
 class HealthCheckAssignment:
     def __init__(self, me: str, told: SharedHealthChecksConfig) -> None:
         self._me = me
-        self._period_us, self._stale_us = told.probe_ms * 1000, told.stale_ms * 1000
+        self._period_us, self._stale_us = told.check_interval_ms * 1000, told.takeover_delay_ms * 1000
         self._seen: tuple[tuple[str, ...], tuple[str, ...]] = (), ()
         self._near: dict[str, list[str]] = {}
         self._places: dict[str, int] = {}
@@ -20,7 +20,7 @@
         self._stands_in: set[str] = set()
         self.holders: Mapping[str, str] = {}
 
-    def assign(self, servers: Iterable[str], members: Iterable[str], now_us: int) -> None:
+    def update(self, servers: Iterable[str], members: Iterable[str], now_us: int) -> None:
         """The servers and members from now on; does nothing where they are as before."""
         seen = tuple(sorted(servers)), tuple(sorted(members))
         if seen == self._seen:
@@ -37,19 +37,19 @@
         for name in found:
             self._heard_us.setdefault(name, now_us)  # a new one is its holder's to begin with
 
-    def anew(self, now_us: int) -> None:
+    def reset_ages(self, now_us: int) -> None:
         """We have heard nothing for long, by our own fault: what we know tells of nobody else's death."""
         self._heard_us = dict.fromkeys(self._heard_us, now_us)
         self._stands_in.clear()
 
-    def heard(self, server: str, at_us: int, other: str) -> None:
+    def record_check(self, server: str, at_us: int, other: str) -> None:
         """Another probed it then, or later. If its turn comes before ours, our standing in has ended."""
         if server in self._places:
             self._heard_us[server] = max(self._heard_us[server], at_us)
             if other in self._near[server][: self._places[server]]:
                 self._stands_in.discard(server)
 
-    def due(self, now_us: int, *, hears: bool) -> list[str]:
+    def select_due(self, now_us: int, *, hears: bool) -> list[str]:
         """The servers that we are to probe now; each counts as probed by it. `hears`: news of others reach us; one
         that is cut off would take all of them for dead."""
         turns = []
--- a/stoatgw/shared_health_checks/checker.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -5,6 +5,7 @@
 import asyncio
 import random
 from collections.abc import Callable
+from dataclasses import dataclass
 
 import msgspec
 
@@ -27,13 +28,28 @@
     number: int
     age_ms: int
     status: AttemptStatus
-    spent_us: int
-    row: tuple[float | None, ...]
+    elapsed_us: int
+    load_report: tuple[float | None, ...]
 
 
 Reports = dict[str, PublishedHealthCheck]
 
 
+@dataclass(frozen=True, slots=True, kw_only=True)
+class ProxyHooks:
+    """What the checker needs of the proxy that it runs in.
+
+    Attributes:
+        queue: The balancer controller's message queue.
+        start_check: Starts a health check of a server; its result is posted to the checker.
+        list_servers: The names of the session servers that discovery lists.
+    """
+
+    queue: MessageQueue
+    start_check: Callable[[str], None]
+    list_servers: Callable[[], list[str]]
+
+
 class SharedHealthChecker:
     """Also stands in the owner's place before the prober, so that results pass through it."""
 
@@ -54,10 +70,12 @@
         self._inbox, self._probe, self._servers, self._now_us, self._log = inbox, probe, servers, now_us, log
         self._engine, self._identity, self._draws = engine, identity, draws
         self._prefix = f"{told.scope}/sharing/"
-        self._place = LeaseHolder(engine, f"{self._prefix}members/{identity}", identity.encode(), told.lease_s, now_us)
+        self._place = LeaseHolder(
+            engine, f"{self._prefix}members/{identity}", identity.encode(), told.lease_ttl_s, now_us
+        )
         self._board = HealthCheckAssignment(identity, sharing)
-        self._lease_us, self._pause_s = told.lease_s * 1_000_000, told.look_ms / 1000
-        self._take_us = sharing.take_ms * 1000
+        self._lease_us, self._pause_s = told.lease_ttl_s * 1_000_000, told.poll_interval_ms / 1000
+        self._take_us = sharing.max_report_age_ms * 1000
         self._found: dict[str, tuple[int, int, HealthCheckCompleted]] = {}  # number, when, what
         self._taken: dict[tuple[str, str], int] = {}  # numbers of others' reports that were handed on
         self._changes: dict[str, int] = {}
@@ -86,21 +104,21 @@
         if not self.is_sharing:
             self._probe(server)
 
-    def tick(self) -> None:
+    def start_due_checks(self) -> None:
         """Probe what is due, while probes are shared."""
         shares = self.is_sharing
         if shares != self._shares:
             self._shares = shares
             self._log.event("health_check_sharing_started" if shares else "health_check_sharing_stopped")
         hears = self._now_us() - self._heard_us < 3e6 * self._pause_s
-        for server in self._board.due(self._now_us(), hears=hears) if shares else ():
+        for server in self._board.select_due(self._now_us(), hears=hears) if shares else ():
             self._probe(server)
 
     async def run(self) -> None:
         looks = asyncio.create_task(self._keep_looking())
         try:
             while True:
-                self.tick()
+                self.start_due_checks()
                 await asyncio.sleep(TICK_S)
         finally:
             looks.cancel()
@@ -109,18 +127,18 @@
         told = ""
         while True:
             try:
-                await self.look()
+                await self.reconcile()
             except Exception as fault:  # a fault of one look must not end the proxy
                 if told != repr(fault):
                     told = repr(fault)
                     self._log.event("health_check_sharing_failed", error=told[:200])
             await asyncio.sleep(self._pause_s * self._draws.uniform(0.8, 1.2))
 
-    async def look(self) -> None:
+    async def reconcile(self) -> None:
         """Publish what we found since the last look, and read what the others did: one call."""
         if self._place.is_due:
-            await self._place.step()
-        token, before_us, now_us = self._place.token(), self._looked_us, self._now_us()
+            await self._place.send_next_call()
+        token, before_us, now_us = self._place.fencing_token(), self._looked_us, self._now_us()
         read = {"request_range": etcd_api.under(self._prefix)}
         # A proxy whose lease is over may not publish: the others have taken its servers over.
         write = etcd_api.txn([etcd_api.made_at(self._place.key, token)], [self._write(now_us), read], [read])
@@ -136,8 +154,8 @@
             return  # our own place was not there: what we read may be stale, or our lease is over
         self._heard_us = self._now_us()
         if now_us - before_us > 3e6 * self._pause_s:
-            self._board.anew(now_us)
-        self._board.assign(self._servers(), members, self._now_us())
+            self._board.reset_ages(now_us)
+        self._board.update(self._servers(), members, self._now_us())
         for pair in view.entries:
             other = self._of(pair.key, "reports/")
             if other and other != self._identity and pair.mod_revision != self._changes.get(other):
@@ -163,7 +181,7 @@
             if now_us - at_us <= self._take_us
         }
         key = f"{self._prefix}reports/{self._identity}"
-        return etcd_api.put(key, msgspec.json.encode(reports), self._place.lease)
+        return etcd_api.put(key, msgspec.json.encode(reports), self._place.lease_id)
 
     def _hand_on(self, other: str, data: bytes, since_us: int) -> None:
         try:
@@ -176,6 +194,6 @@
                 continue
             self._taken[other, server] = report.number
             age_us = report.age_ms * 1000 + since_us
-            self._board.heard(server, now_us - age_us, other)
+            self._board.record_check(server, now_us - age_us, other)
             if age_us <= self._take_us:
-                self._inbox.post(HealthCheckCompleted(server, report.status, report.spent_us, report.row))
+                self._inbox.post(HealthCheckCompleted(server, report.status, report.elapsed_us, report.load_report))
--- a/stoatgw/shared_health_checks/service.py
+++ b/stoatgw/shared_health_checks/service.py
@@ -5,14 +5,12 @@
 import random
 import secrets
 import time
-from collections.abc import Callable
 
 from stoatgw.config.deployment import Deployment
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
-from stoatgw.controller.messages import MessageQueue
 from stoatgw.membership.client import make_client
-from stoatgw.shared_health_checks.checker import SharedHealthChecker
+from stoatgw.shared_health_checks.checker import ProxyHooks, SharedHealthChecker
 from stoatgw.telemetry.log import EventLog
 
 
@@ -20,10 +18,8 @@
     membership: MembershipConfig,
     sharing: SharedHealthChecksConfig,
     deployment: Deployment,
-    owner: MessageQueue,
+    hooks: ProxyHooks,
     log: EventLog,
-    probe: Callable[[str], None],
-    servers: Callable[[], list[str]],
 ) -> SharedHealthChecker:
     """Raises ConfigError."""
     identity = f"{deployment.name}-{secrets.token_hex(6)}"
@@ -32,9 +28,9 @@
         sharing,
         identity,
         make_client(membership, deployment.settings.rank),
-        owner,
-        probe,
-        servers,
+        hooks.queue,
+        hooks.start_check,
+        hooks.list_servers,
         lambda: time.monotonic_ns() // 1000,
         log,
         random.Random(deployment.seed),
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -44,11 +44,11 @@
 
 def check(plan: MaintenancePlan, zones: dict[str, str], ledgers: list[RolloutState]) -> None:
     """Reads nothing but the ledgers that were ever true: never too many out, each machine out once, ended once."""
-    for before, after in zip([RolloutState(plan=plan.fingerprint), *ledgers], ledgers, strict=False):
-        out = [name for name in after.out() if name in zones]
-        assert len(out) <= plan.out_most and len(after.out()) - len(out) <= plan.proxies_out_most
+    for before, after in zip([RolloutState(plan_fingerprint=plan.fingerprint), *ledgers], ledgers, strict=False):
+        out = [name for name in after.machines_out() if name in zones]
+        assert len(out) <= plan.max_servers_out and len(after.machines_out()) - len(out) <= plan.max_proxies_out
         for zone, size in Counter(zones.values()).items():
-            assert sum(zones[name] == zone for name in out) <= plan.zone_share * size
+            assert sum(zones[name] == zone for name in out) <= plan.max_zone_fraction * size
         for name, step in before.steps.items():
             assert name in after.steps and (step.state is StepState.OUT or after.steps[name] == step)
     tokens = [step.token for step in ledgers[-1].steps.values()]
@@ -65,29 +65,34 @@
     plan = MaintenancePlan(
         name="p",
         machines=tuple(zones),
-        out_most=data.draw(st.integers(1, 3)),
-        done=data.draw(st.sampled_from(["empty", "restarted"])),
-        zone_share=data.draw(st.sampled_from([0.34, 0.67, 1.0])),
-        members_least=1,
-        step_s=30.0,
+        max_servers_out=data.draw(st.integers(1, 3)),
+        completion=data.draw(st.sampled_from(["empty", "restarted"])),
+        max_zone_fraction=data.draw(st.sampled_from([0.34, 0.67, 1.0])),
+        min_members=1,
+        step_timeout_s=30.0,
         settle_s=2.0,
-        lapsed_s=5.0,
+        member_loss_timeout_s=5.0,
     )
     machines = {name: MachineStatus(zone, True, 1) for name, zone in zones.items()}
     members = {"n0": ProxyMember("n0", 0), "n1": ProxyMember("n1", 0)}
-    ledger, steward, now_us, held = RolloutState(plan=plan.fingerprint), RolloutPlanner(plan), 0, list[RolloutState]()
+    ledger, steward, now_us, held = (
+        RolloutState(plan_fingerprint=plan.fingerprint),
+        RolloutPlanner(plan),
+        0,
+        list[RolloutState](),
+    )
     acts = ["step", "step", "tell", "empty", "restart", "later", "lose", "back", "down", "up", "holder"]
     for act in data.draw(st.lists(st.sampled_from(acts), max_size=60)):
         now_us += SECOND // 2
         name = data.draw(st.sampled_from(sorted(zones)))
         who = data.draw(st.sampled_from(["n0", "n1"]))
-        out = frozenset(ledger.out())
+        out = frozenset(ledger.machines_out())
         match act:
             case "tell" if who in members:
-                members[who] = ProxyMember(who, 0, out, members[who].empty & out)
+                members[who] = ProxyMember(who, 0, out, members[who].machines_evacuated & out)
             case "empty" if who in members:
-                members[who] = ProxyMember(who, 0, members[who].told, members[who].told)
-            case "restart" if name in out and ledger.steps[name].empty:
+                members[who] = ProxyMember(who, 0, members[who].machines_out, members[who].machines_out)
+            case "restart" if name in out and ledger.steps[name].is_evacuated:
                 machines[name] = MachineStatus(zones[name], True, now_us)
             case "later":
                 now_us += 10 * SECOND
@@ -101,47 +106,63 @@
                 machines[name] = MachineStatus(zones[name], True, now_us)
             case "holder":
                 steward = RolloutPlanner(plan)
-        change = steward.next(ledger, FleetSnapshot(machines, members), now_us) if act == "step" else None
+        change = steward.next_change(ledger, FleetSnapshot(machines, members), now_us) if act == "step" else None
         if change is not None:
             if change.event == "step_out":
                 # Those down by themselves count as well: the fleet cannot spare more.
-                away = set(change.ledger.out()) | {each for each, machine in machines.items() if not machine.up}
-                assert members and len(away) <= plan.out_most
+                away = set(change.state.machines_out()) | {
+                    each for each, machine in machines.items() if not machine.is_serving
+                }
+                assert members and len(away) <= plan.max_servers_out
             if change.event == "step_empty":
-                step = change.ledger.steps[change.machine]
-                assert step.told and all(change.machine in member.empty for member in members.values())
-            ledger = change.ledger
+                step = change.state.steps[change.machine]
+                assert step.is_notified and all(
+                    change.machine in member.machines_evacuated for member in members.values()
+                )
+            ledger = change.state
             held.append(ledger)
     if held:
         check(plan, zones, held)
 
 
-def step(**changes: object) -> RolloutStep:
+def step(*, is_notified: bool = False) -> RolloutStep:
+    """A machine that is out, by the state's first writer."""
     return RolloutStep(
-        **({"state": StepState.OUT, "token": 1, "at_ms": 0, "start_ms": 1, "must": ("n0", "n1")} | changes)  # type: ignore[arg-type]
+        state=StepState.OUT,
+        token=1,
+        started_at_ms=0,
+        machine_start_ms=1,
+        expected_members=("n0", "n1"),
+        is_notified=is_notified,
     )
 
 
 def test_a_lost_proxy_is_waited_for_and_an_aborted_maintenance_brings_all_back() -> None:
-    plan = MaintenancePlan(name="p", machines=("s-0", "s-1"), zone_share=1.0, lapsed_s=5.0, step_s=60.0)
+    plan = MaintenancePlan(
+        name="p", machines=("s-0", "s-1"), max_zone_fraction=1.0, member_loss_timeout_s=5.0, step_timeout_s=60.0
+    )
     machines = {"s-0": MachineStatus("a", True, 1), "s-1": MachineStatus("a", True, 1)}
     sight = FleetSnapshot(machines, {"n0": ProxyMember("n0", 0, frozenset(["s-0"]), frozenset(["s-0"]))})
-    ledger, steward = RolloutState(plan=plan.fingerprint, steps={"s-0": step()}), RolloutPlanner(plan)
-    assert steward.next(ledger, sight, 0) is None and steward.next(ledger, sight, 5 * SECOND - 1) is None
-    change = steward.next(ledger, sight, 5 * SECOND)
+    ledger, steward = RolloutState(plan_fingerprint=plan.fingerprint, steps={"s-0": step()}), RolloutPlanner(plan)
+    assert steward.next_change(ledger, sight, 0) is None and steward.next_change(ledger, sight, 5 * SECOND - 1) is None
+    change = steward.next_change(ledger, sight, 5 * SECOND)
     assert change is not None and change.event == "step_told"
     # Another holder does not know for how long it has been lost, and waits anew.
-    assert RolloutPlanner(plan).next(change.ledger, sight, 6 * SECOND) is None
+    assert RolloutPlanner(plan).next_change(change.state, sight, 6 * SECOND) is None
     late = RolloutPlanner(plan)
-    assert late.next(ledger, sight, 0) is None
-    assert (late.next(ledger, FleetSnapshot(machines, {}), 60 * SECOND) or change).event == "step_late"
-    aborted = RolloutState(plan=plan.fingerprint, steps={"s-0": step()}, aborted=True)
-    released = steward.next(aborted, sight, 7 * SECOND)
-    assert released is not None and released.ledger.out() == [] and steward.next(released.ledger, sight, 9**12) is None
+    assert late.next_change(ledger, sight, 0) is None
+    assert (late.next_change(ledger, FleetSnapshot(machines, {}), 60 * SECOND) or change).event == "step_late"
+    aborted = RolloutState(plan_fingerprint=plan.fingerprint, steps={"s-0": step()}, is_aborted=True)
+    released = steward.next_change(aborted, sight, 7 * SECOND)
+    assert (
+        released is not None
+        and released.state.machines_out() == []
+        and steward.next_change(released.state, sight, 9**12) is None
+    )
 
 
 def test_a_ledger_cut_or_changed_anywhere_is_refused_and_its_file_left_as_it_is(tmp_path: Path) -> None:
-    ledger = RolloutState(plan="f", steps={"s-0": step(told=True)})
+    ledger = RolloutState(plan_fingerprint="f", steps={"s-0": step(is_notified=True)})
     data, record = encode(ledger), RolloutStateFile(tmp_path, "p")
     assert record.load() is None
     record.save(ledger)
@@ -205,14 +226,14 @@
     def __init__(self, machines: dict[str, MachineStatus]) -> None:
         self._machines = machines
 
-    def take_out(self, servers: dict[str, int]) -> None: ...
-    def drain(self) -> None: ...
+    def set_servers_out(self, servers: dict[str, int]) -> None: ...
+    def start_drain(self) -> None: ...
     def cancel_drain(self) -> None: ...
 
-    def connections_to(self, server: str) -> int:
+    def count_connections(self, server: str) -> int:
         return 0
 
-    def clients(self) -> int:
+    def count_clients(self) -> int:
         return 0
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
@@ -223,7 +244,12 @@
     """Agents that look when told to, and a store that carries their calls out when told to."""
 
     PLAN = MaintenancePlan(
-        name="p", machines=("s-0", "s-1", "s-2"), zone_share=1.0, settle_s=0.0, lapsed_s=1.0, step_s=9.0
+        name="p",
+        machines=("s-0", "s-1", "s-2"),
+        max_zone_fraction=1.0,
+        settle_s=0.0,
+        member_loss_timeout_s=1.0,
+        step_timeout_s=9.0,
     )
 
     def __init__(self, folder: Path, count: int) -> None:
@@ -238,7 +264,7 @@
     def agent(self, place: int) -> MaintenanceController:
         folder = self.folder / str(place)
         folder.mkdir(exist_ok=True)
-        told = MembershipConfig(engine=("127.0.0.1:1",), lease_s=3, look_ms=100, call_ms=400)
+        told = MembershipConfig(endpoints=("127.0.0.1:1",), lease_ttl_s=3, poll_interval_ms=100, call_timeout_ms=400)
         agent = MaintenanceController(
             told,
             self.PLAN,
@@ -283,7 +309,7 @@
         except NotFoundError as error:
             found = CallFailure(str(error), may_have_run=True)
         self.answers[place] = CallFailure("lost", may_have_run=True) if lost else found
-        entry = self.store.entries.get(self.keys.ledger.encode())
+        entry = self.store.entries.get(self.keys.rollout.encode())
         if entry is not None and entry.change != self.change:
             self.change = entry.change
             self.history.append(decode(entry.value))
@@ -291,7 +317,7 @@
     def work(self) -> None:
         """Staff restart what is empty."""
         for name, each in self.history[-1].steps.items() if self.history else ():
-            if each.state is StepState.OUT and each.empty:
+            if each.state is StepState.OUT and each.is_evacuated:
                 self.machines[name] = MachineStatus("a", True, self.now_us)
 
     def whole(self, place: int) -> None:
@@ -302,7 +328,7 @@
             self.go(place)
 
     def verify(self) -> None:
-        assert sum(agent.token > 0 for agent in self.agents) <= 1, "two hold the duty"
+        assert sum(agent.fencing_token > 0 for agent in self.agents) <= 1, "two hold the duty"
         if self.history:
             check(self.PLAN, dict.fromkeys(self.PLAN.machines, "a"), self.history)
 
@@ -342,15 +368,15 @@
 
 def stands_before_its_write(world: World) -> None:
     """The first has done a machine, and has asked whether it may write its next step; the write is on its way."""
-    while not (world.history and world.history[-1].out()):
+    while not (world.history and world.history[-1].machines_out()):
         world.now_us += SECOND
         world.whole(0)
-    while world.history[-1].out():
+    while world.history[-1].machines_out():
         world.work()
         world.now_us += SECOND
         world.whole(0)
     world.go(0)
-    while world.keys.ledger not in _keys(world.asked[0]):
+    while world.keys.rollout not in _keys(world.asked[0]):
         world.carry(0)
         world.go(0)
 
@@ -359,10 +385,10 @@
     """The one that the fence is for: frozen for longer than its lease; the next holder has written nothing."""
     world = World(tmp_path, 2)
     stands_before_its_write(world)
-    while not world.agents[1].token:
+    while not world.agents[1].fencing_token:
         world.now_us += SECOND
         world.go(1)
-        while not world.agents[1].token and world.looks[1] is not None:
+        while not world.agents[1].fencing_token and world.looks[1] is not None:
             world.carry(1)
             world.go(1)
     before = len(world.history)
@@ -373,14 +399,14 @@
 def test_an_abort_between_a_look_and_a_write_stands(tmp_path: Path) -> None:
     world = World(tmp_path, 2)
     stands_before_its_write(world)
-    aborted = encode(replace(world.history[-1], aborted=True))
-    answer(world.store, etcd_api.TXN, etcd_api.txn([], [etcd_api.put(world.keys.ledger, aborted)]), world.now_us)
+    aborted = encode(replace(world.history[-1], is_aborted=True))
+    answer(world.store, etcd_api.TXN, etcd_api.txn([], [etcd_api.put(world.keys.rollout, aborted)]), world.now_us)
     world.carry(0)
-    assert world.history[-1].aborted and not world.history[-1].out()
+    assert world.history[-1].is_aborted and not world.history[-1].machines_out()
     for _ in range(20):
         world.now_us += SECOND
         world.whole(0)
-    assert not world.history[-1].out()
+    assert not world.history[-1].machines_out()
 
 
 def _keys(asked: tuple[str, etcd_api.Body] | None) -> list[str]:
@@ -393,42 +419,46 @@
 PLAN = MaintenancePlan(
     name="p",
     machines=("s-0", "s-1", "s-2", "s-3"),
-    out_most=2,
-    zone_share=0.5,
-    members_least=1,
-    step_s=60.0,
+    max_servers_out=2,
+    max_zone_fraction=0.5,
+    min_members=1,
+    step_timeout_s=60.0,
     settle_s=0.2,
-    lapsed_s=1.5,
+    member_loss_timeout_s=1.5,
 )
 
 
 def begun(up: MaintenanceRun) -> Awaitable[object]:
     """A step is under way, and all proxies know of it."""
-    return up.until(lambda look: look.ledger is not None and any(look.ledger.steps[n].told for n in look.ledger.out()))
+    return up.until(
+        lambda look: (
+            look.rollout is not None and any(look.rollout.steps[n].is_notified for n in look.rollout.machines_out())
+        )
+    )
 
 
 async def leader_killed(up: MaintenanceRun) -> None:
     await begun(up)
-    look = await up.until(lambda look: look.token > 0)
+    look = await up.until(lambda look: look.fencing_token > 0)
     await up.kill_proxy(up.leader(look))
 
 
 async def leader_frozen(up: MaintenanceRun) -> None:
     await begun(up)
-    look = await up.until(lambda look: look.token > 0)
+    look = await up.until(lambda look: look.fencing_token > 0)
     place = up.leader(look)
     up.proxies[place].send(signal.SIGSTOP)
     up.killed.add(place)  # its clients find nobody for a while
-    await up.until(lambda after: after.token > look.token)
+    await up.until(lambda after: after.fencing_token > look.fencing_token)
     up.proxies[place].send(signal.SIGCONT)
 
 
 async def leader_cut_off(up: MaintenanceRun) -> None:
     await begun(up)
-    look = await up.until(lambda look: look.token > 0)
+    look = await up.until(lambda look: look.fencing_token > 0)
     place = up.leader(look)
     up.links[place].cut = True
-    await up.until(lambda after: after.token > look.token)
+    await up.until(lambda after: after.fencing_token > look.fencing_token)
     up.links[place].cut = False
 
 
@@ -479,7 +509,7 @@
         check(PLAN, {server.name: server.zone for server in up.servers}, up.ledgers())
         assert [each.state for each in last.steps.values()] == [StepState.DONE] * 4
         # By those who did the work, whatever the ledger says: each machine once, never three at a time.
-        assert up.worked == Counter(PLAN.machines) and up.most_worked <= PLAN.out_most
+        assert up.worked == Counter(PLAN.machines) and up.most_worked <= PLAN.max_servers_out
         assert up.tally.lost == 0 and set(up.tally.answers) <= {"UP", "BUSY"}
 
     play(tmp_path, PLAN, test)
@@ -487,7 +517,11 @@
 
 def test_a_proxy_is_drained_replaced_and_serves_again_and_one_with_a_full_disk_takes_part(tmp_path: Path) -> None:
     plan = MaintenancePlan(
-        name="p", machines=("proxy/n1", "s-0", "proxy/n2"), zone_share=0.5, settle_s=0.0, lapsed_s=1.5
+        name="p",
+        machines=("proxy/n1", "s-0", "proxy/n2"),
+        max_zone_fraction=0.5,
+        settle_s=0.0,
+        member_loss_timeout_s=1.5,
     )
 
     async def test(up: MaintenanceRun) -> None:
@@ -513,7 +547,9 @@
         await begun(up)
         assert (await command(up, "plan"))[1].count("s-") == 4
         assert (await command(up, "abort"))[0] == 0
-        await up.until(lambda look: look.ledger is not None and look.ledger.aborted and not look.ledger.out())
+        await up.until(
+            lambda look: look.rollout is not None and look.rollout.is_aborted and not look.rollout.machines_out()
+        )
         status, told = await command(up, "status")
         assert status == 0 and "aborted" in told and "n0, n1, n2" in told
         assert (await command(up, "abort"))[1] == "it had ended before\n"
@@ -527,14 +563,14 @@
 def test_an_engine_that_lost_everything_halts_it_and_nothing_is_done_again(tmp_path: Path) -> None:
     async def test(up: MaintenanceRun) -> None:
         await begun(up)
-        await up.until(lambda look: any(each.state is StepState.DONE for each in look.ledger.steps.values()))  # type: ignore[union-attr]
+        await up.until(lambda look: any(each.state is StepState.DONE for each in look.rollout.steps.values()))  # type: ignore[union-attr]
         await up.restart_engine(empty=True)
         while not all(proxy.told("maintenance_halted") or proxy.told("maintenance_stale") for proxy in up.proxies):
             await asyncio.sleep(0.05)
         await up.until(lambda look: len(look.members) == 3)
-        await asyncio.sleep(2 * up.membership.lease_s)  # long enough for a new one to have begun
+        await asyncio.sleep(2 * up.membership.lease_ttl_s)  # long enough for a new one to have begun
         look = await up.look()
-        assert look is not None and look.ledger is None
-        assert max(up.worked.values()) == 1 and up.most_worked <= PLAN.out_most
+        assert look is not None and look.rollout is None
+        assert max(up.worked.values()) == 1 and up.most_worked <= PLAN.max_servers_out
 
     play(tmp_path, PLAN, test)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -63,7 +63,7 @@
 def engine(world: World, index: int, call: LeaseCall) -> tuple[World, LeaseResult]:
     held = world.now < world.expires
     mine = held and world.holder == index
-    if call is LeaseCall.LOOK:
+    if call is LeaseCall.LOOKUP:
         return world, LeaseFound(world.token) if mine else LeaseDenied()
     if call is LeaseCall.ACQUIRE and not held:
         after = replace(world, holder=index, token=world.token + 1, expires=world.now + TERM)
--- a/tests/test_sharing.py
+++ b/tests/test_shared_health_checks.py
@@ -122,7 +122,7 @@
 
 def test_real_proxies_share_take_over_and_fall_back(tmp_path: Path) -> None:
     """Three processes and the stand-in: one killed, then the engine. All servers go on being probed."""
-    plan = MaintenancePlan(name="none", machines=("s-0",), members_least=99)  # begins nothing
+    plan = MaintenancePlan(name="none", machines=("s-0",), min_members=99)  # begins nothing
 
     async def more(up: MaintenanceRun, count: int) -> None:
         had = {server.name: server.probed for server in up.servers}
@@ -130,7 +130,7 @@
             await asyncio.sleep(0.02)
 
     async def play() -> None:
-        sharing = SharedHealthChecksConfig(probe_ms=100, stale_ms=600)
+        sharing = SharedHealthChecksConfig(check_interval_ms=100, takeover_delay_ms=600)
         async with MaintenanceRun(tmp_path, plan, sharing=sharing) as up, asyncio.timeout(60):
             while not all(proxy.told("health_check_sharing_started") for proxy in up.proxies):
                 await asyncio.sleep(0.02)
