--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -37,7 +37,7 @@
             )
 
     def start_drain(self) -> None:
-        start_drain(self._context, self._owner, self._log)
+        start_drain(self._context)
 
     def cancel_drain(self) -> None:
         if self._context.lifecycle.resume_serving():
--- a/stoatgw/maintenance/service.py
+++ b/stoatgw/maintenance/service.py
@@ -32,7 +32,7 @@
     log = context.log
     engine = make_client(membership, deployment.settings.rank)
     hands = LocalProxyActions(
-        deployment, context, owner, director, SuspensionApplier(overlay, director, owner, clock, log), log
+        deployment, context, owner, director, SuspensionApplier(overlay, director.publisher, owner, clock, log), log
     )
     return MaintenanceController(
         membership,
--- a/stoatgw/management/operations.py
+++ b/stoatgw/management/operations.py
@@ -18,11 +18,11 @@
 DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US = 400_000, 2_000_000, 2_600_000
 
 
-def start_drain(context: ProxyContext, owner: Controller, log: EventLog) -> None:
-    """Send all clients away; nothing if that is under way."""
+def start_drain(context: ProxyContext) -> None:
+    """Drain the proxy: migrate all its clients. Does nothing while a drain or the shutdown is under way."""
     if context.lifecycle.begin_drain():
-        log.event("drain_started", open_connections=len(context.established_sessions))
-        owner.post(BeginDrain(DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US))
+        context.log.event("drain_started", open_connections=len(context.established_sessions))
+        context.controller.post(BeginDrain(DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US))
 
 
 class Operations:
@@ -87,7 +87,7 @@
 
     def _drain(self) -> HttpResponse:
         course = self._context.lifecycle
-        start_drain(self._context, self._owner, self._log)
+        start_drain(self._context)
         return HttpResponse(200, f"yes: {course.state.value}\n")
 
     def _activate(self) -> HttpResponse:
--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -178,7 +178,11 @@
         from stoatgw.suspension.service import SuspensionService
 
         keeper = SuspensionService(
-            os.environ.get("TMPDIR"), SuspensionApplier(overlay, director, owner, clock, log), director, clock, log
+            os.environ.get("TMPDIR"),
+            SuspensionApplier(overlay, director.publisher, owner, clock, log),
+            director,
+            clock,
+            log,
         )
         keeper.start()
     if operators is not None and operators.membership is not None and operators.maintenance is not None:
--- a/stoatgw/suspension/applier.py
+++ b/stoatgw/suspension/applier.py
@@ -1,32 +1,55 @@
-"""Bans brought to all who go by them: the list as the module sees it, the backends, and the clients who stand there."""
+"""Brings suspensions to all who go by them: the endpoint list, the backends, and the clients of a suspended server."""
 
 from __future__ import annotations
 
 from stoatgw.clock import Clock
-from stoatgw.controller.controller import Controller
-from stoatgw.controller.messages import EvacuateServer
-from stoatgw.discovery.client import DiscoveryClient
+from stoatgw.controller.messages import EvacuateServer, MessageQueue
+from stoatgw.discovery.publisher import EndpointPublisher
 from stoatgw.suspension.overrides import EndpointOverrides, Suspensions, SuspensionSource
 from stoatgw.telemetry.log import EventLog
 
-EVACUATION_DURATION_US = (
-    2_000_000  # a server taken out is left over so long: well before a restart, and no herd elsewhere
-)
+# Well before the server is restarted, yet spread out, so that its clients do not all reach the others at once.
+EVACUATION_DURATION_US = 2_000_000
 
 
 class SuspensionApplier:
+    """Carries out what a source of suspensions has decided."""
+
     def __init__(
-        self, overlay: EndpointOverrides, director: DiscoveryClient, owner: Controller, clock: Clock, log: EventLog
+        self,
+        overrides: EndpointOverrides,
+        publisher: EndpointPublisher,
+        queue: MessageQueue,
+        clock: Clock,
+        log: EventLog,
+    ) -> None:
+        """Prepare the applier.
+
+        Args:
+            overrides: Holds the suspensions of all sources.
+            publisher: Publishes the servers whose suspension has changed.
+            queue: The controller's queue, on which evacuations are posted.
+            clock: Tells when a server was resumed.
+            log: Gets an event for each server suspended or resumed.
+        """
+        self.overrides = overrides
+        self._publisher = publisher
+        self._queue = queue
+        self._clock = clock
+        self._log = log
+
+    def apply(
+        self,
+        suspensions: Suspensions,
+        source: SuspensionSource,
+        evacuation_duration_us: int = EVACUATION_DURATION_US,
     ) -> None:
-        self.overrides, self._director, self._owner, self._clock, self._log = overlay, director, owner, clock, log
-
-    def apply(self, bans: Suspensions, source: SuspensionSource, over_us: int = EVACUATION_DURATION_US) -> None:
-        """What a source has out from now on; who stands on one newly out is moved within `over_us`."""
-        out, back = self.overrides.replace(bans, self._clock.now_us(), source)
-        for name in out:
-            self._log.event("server_suspended", backend=name)
-            self._owner.post(EvacuateServer(name, True, over_us))
-        for name in back:
-            self._log.event("server_resumed", backend=name)
-            self._owner.post(EvacuateServer(name, False))
-        self._director.publisher.republish([*out, *back])
+        """Replace the suspensions of a source; clients of newly suspended servers are migrated over the duration."""
+        change = self.overrides.replace(suspensions, self._clock.now_us(), source)
+        for server in change.suspended:
+            self._log.event("server_suspended", backend=server)
+            self._queue.post(EvacuateServer(server, True, evacuation_duration_us))
+        for server in change.resumed:
+            self._log.event("server_resumed", backend=server)
+            self._queue.post(EvacuateServer(server, False))
+        self._publisher.republish([*change.suspended, *change.resumed])
--- a/stoatgw/suspension/overrides.py
+++ b/stoatgw/suspension/overrides.py
@@ -1,14 +1,15 @@
-"""Bans laid over discovery's list. Pure; the clock's time is handed in."""
+"""Suspensions laid over discovery's endpoint list. Pure: the time is handed in."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from enum import Enum
 
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
-Suspensions = Mapping[str, int]  # session servers out by hand, and since when (us of Unix time)
+Suspensions = Mapping[str, int]
+"""Suspended session servers, each with the time since when (microseconds of Unix time)."""
 
 
 class SuspensionSource(Enum):
@@ -18,43 +19,72 @@
     MAINTENANCE = "maintenance"
 
 
+@dataclass(frozen=True, slots=True)
+class SuspensionChange:
+    """The servers, by name, whose suspension began or ended."""
+
+    suspended: list[str]
+    resumed: list[str]
+
+
+@dataclass(frozen=True, slots=True)
+class PastSuspension:
+    """A suspension that has ended (microseconds of Unix time)."""
+
+    suspended_us: int
+    resumed_us: int
+
+
 class EndpointOverrides:
+    """The suspensions of all sources, and how an endpoint looks under them."""
+
     def __init__(self) -> None:
-        self._by: dict[SuspensionSource, dict[str, int]] = {}
-        self._bans: dict[str, int] = {}
-        self._back: dict[str, tuple[int, int]] = {}  # called back: banned since, back since
+        self._by_source: dict[SuspensionSource, dict[str, int]] = {}
+        self._suspensions: dict[str, int] = {}
+        self._past: dict[str, PastSuspension] = {}
 
     @property
     def suspensions(self) -> Suspensions:
-        return self._bans
+        """The suspensions of all sources together, each since the earliest of them."""
+        return self._suspensions
 
     def suspensions_from(self, source: SuspensionSource) -> Suspensions:
-        return self._by.get(source, {})
+        """The suspensions of one source."""
+        return self._by_source.get(source, {})
 
     def replace(
-        self, bans: Suspensions, now_us: int, source: SuspensionSource = SuspensionSource.OPERATOR
-    ) -> tuple[list[str], list[str]]:
-        """The bans of a source from now on; gives those newly out, and those called back."""
-        self._by[source] = dict(bans)
-        every = [pair for each in self._by.values() for pair in each.items()]
-        bans = {name: min(since_us for each, since_us in every if each == name) for name, _ in every}
-        out = sorted(bans.keys() - self._bans.keys())
-        back = sorted(self._bans.keys() - bans.keys())
-        for name in out:
-            self._back.pop(name, None)
-        for name in back:
-            self._back[name] = self._bans[name], now_us
-        self._bans = dict(bans)
-        return out, back
-
-    def apply(self, entry: Endpoint) -> Endpoint:
-        """An entry of the list as the module is to see it."""
-        name = entry.name
-        if name in self._bans:
-            return entry if entry.lifecycle is not Lifecycle.ACTIVE else replace(entry, lifecycle=Lifecycle.DRAINING)
-        since_us, back_us = self._back.get(name, (0, 0))
-        if back_us and entry.started_us < since_us:
-            # Staff restart a server while it is out, and the list may tell of that late: until it does, the
-            # server counts as started when it was called back, and is filled no faster than a cold one.
-            return replace(entry, started_us=back_us)
-        return entry
+        self, suspensions: Suspensions, now_us: int, source: SuspensionSource = SuspensionSource.OPERATOR
+    ) -> SuspensionChange:
+        """Replace the suspensions of a source; returns which servers are thereby suspended or resumed."""
+        self._by_source[source] = dict(suspensions)
+        before = self._suspensions
+        self._suspensions = self._merge_sources()
+        change = SuspensionChange(
+            suspended=sorted(self._suspensions.keys() - before.keys()),
+            resumed=sorted(before.keys() - self._suspensions.keys()),
+        )
+        for server in change.suspended:
+            self._past.pop(server, None)
+        for server in change.resumed:
+            self._past[server] = PastSuspension(before[server], now_us)
+        return change
+
+    def apply(self, endpoint: Endpoint) -> Endpoint:
+        """An endpoint of the list as the decisions are to see it."""
+        if endpoint.name in self._suspensions:
+            if endpoint.lifecycle is not Lifecycle.ACTIVE:
+                return endpoint
+            return replace(endpoint, lifecycle=Lifecycle.DRAINING)
+        past = self._past.get(endpoint.name)
+        if past is not None and endpoint.started_us < past.suspended_us:
+            # Operators restart a server while it is suspended, and the list may bring that late: until then the
+            # server counts as started when it was resumed, and is warmed up no faster than one just started.
+            return replace(endpoint, started_us=past.resumed_us)
+        return endpoint
+
+    def _merge_sources(self) -> dict[str, int]:
+        merged: dict[str, int] = {}
+        for suspensions in self._by_source.values():
+            for server, since_us in suspensions.items():
+                merged[server] = min(since_us, merged.get(server, since_us))
+        return merged
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -114,7 +114,7 @@
             log,
             Counters(),
         )
-        self.outs = SuspensionApplier(self.overlay, self.director, self.inbox, clock, log)  # type: ignore[arg-type]
+        self.outs = SuspensionApplier(self.overlay, self.director.publisher, self.inbox, clock, log)
         self.keeper = SuspensionService(str(folder), self.outs, self.director, clock, log)
         self.keeper.start()
         self.director.load_snapshot(page(entry()))
