--- a/stoatgw/service.py
+++ b/stoatgw/service.py
@@ -20,6 +20,7 @@
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.descriptor_limiter import DescriptorLimiter
 from stoatgw.clients.listener import Listener
+from stoatgw.clients.session_monitor import SessionMonitor
 from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, Deployment, load_deployment
 from stoatgw.config.errors import ConfigError, report_config_error
@@ -158,6 +159,7 @@
     room = DescriptorLimiter(deployment.max_sockets - (CALLERS_KEPT if deployment.management_address else 0))
     context = ProxyContext(deployment, owner, backends, clock, columns.to_row, counters, log, room)
     listener = Listener(context)
+    session_monitor = SessionMonitor(context)
     loop.add_signal_handler(signal.SIGHUP, Reload(path, deployment, director, log, counters))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     stopped = asyncio.Event()
@@ -198,7 +200,7 @@
         owner.run,
         director.run,
         listener.run,
-        listener.monitor_sessions,
+        session_monitor.run,
     ]
     beside = None
     if "LB_LISTEN_FD" in os.environ:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -16,8 +16,9 @@
 from stoatgw.backends.latency import MessageLatencyTracker, current_latency_ms
 from stoatgw.clients.context import EstablishedSession, ProxyContext, RecentIds
 from stoatgw.clients.descriptor_limiter import DescriptorLimiter
-from stoatgw.clients.listener import MONITOR_INTERVAL_S, Listener
+from stoatgw.clients.listener import Listener
 from stoatgw.clients.session import LINE_BOUNDARY_TIMEOUT_S
+from stoatgw.clients.session_monitor import MONITOR_INTERVAL_S, SessionMonitor
 from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, parse_deployment
 from stoatgw.controller.controller import Controller
@@ -457,7 +458,7 @@
             proxy.context.established_sessions = {"x": EstablishedSession(req, "s", messages, lambda: given.append(1))}
             latest_us = start_us + 7_000_000 - int((MONITOR_INTERVAL_S + LINE_BOUNDARY_TIMEOUT_S) * 1e6)
             proxy.context.clock = SimpleNamespace(now_us=lambda latest_us=latest_us: latest_us)  # type: ignore[assignment]
-            proxy.listener._check_sessions(False)
+            SessionMonitor(proxy.context).check_sessions(reports_latency=False)
         assert given == [1, 1]
         proxy.context.established_sessions = {}
 
