--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -15,7 +15,7 @@
 
     @wraps(command)
     def run(*args: Any, **kwargs: Any) -> Any:
-        from stoatgw.emulator.world.scenario import ScenarioError
+        from stoatgw.emulator.world.scenario_file import ScenarioError
         from stoatgw.lab.errors import LabError
 
         try:
@@ -35,7 +35,7 @@
 @_one_line
 def list_scenarios() -> None:
     """List the scenarios that come with the program."""
-    from stoatgw.emulator.world.scenario import load_scenario
+    from stoatgw.emulator.world.scenario_file import load_scenario
     from stoatgw.lab.experiment import scenario_folder
 
     for path in sorted(scenario_folder().glob("*.toml")):
--- a/stoatgw/emulator/world/faults.py
+++ b/stoatgw/emulator/world/faults.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from stoatgw.emulator.world import scenario as files
+from stoatgw.emulator.world import scenario_faults as files
 from stoatgw.emulator.world.events import EventKind
 from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
 from stoatgw.emulator.world.world_state import UniformSource, WorldState, fault_name
--- a/stoatgw/emulator/world/population.py
+++ b/stoatgw/emulator/world/population.py
@@ -10,7 +10,8 @@
 
 import numpy as np
 
-from stoatgw.emulator.world.scenario import Clients, Rush, Scenario
+from stoatgw.emulator.world.scenario import Clients, Scenario
+from stoatgw.emulator.world.scenario_faults import Rush
 from stoatgw.emulator.world.streams import RandomStreams
 
 GRID_US = 100_000  # arrivals follow a curve of this step
--- /dev/null
+++ b/stoatgw/emulator/world/scenario_faults.py
@@ -0,0 +1,137 @@
+"""The fault tables of a scenario: what goes wrong during a run, and when."""
+
+from __future__ import annotations
+
+import re
+
+from stoatgw.emulator.world.scenario_types import Index, NotNegative, Positive, Range, Share, Table
+
+
+def fault_kind(class_name: str) -> str:
+    """The word for a fault in scenario files and event logs, such as `kill_server` for `KillServer`."""
+    return re.sub(r"(?<!^)(?=[A-Z])", "_", class_name).lower()
+
+
+class Fault(Table, frozen=True, tag_field="kind", tag=fault_kind):
+    """Base of the faults: each begins `at_s` seconds after the start of the run."""
+
+    at_s: NotNegative
+
+
+class Pauses(Fault, frozen=True):
+    """A share of the servers pauses repeatedly."""
+
+    for_s: Positive
+    part: Share = 0.44
+    pause_ms: Range = (120.0, 300.0)
+    every_s: Range = (1.5, 2.9)
+
+
+class Shrink(Fault, frozen=True):
+    """The fleet is drained down to a share of its size, spread over a time."""
+
+    to: Share = 0.38
+    over_s: NotNegative = 10.0
+
+
+class Grow(Fault, frozen=True):
+    """Servers are added in slow start until the fleet has `to` times its initial size."""
+
+    to: Positive = 1.0
+    over_s: NotNegative = 5.0
+
+
+class Drop(Fault, frozen=True):
+    """A share of the clients disconnects and reconnects within a time."""
+
+    part: Share = 0.56
+    within_s: Positive = 0.44
+
+
+class Rush(Fault, frozen=True):
+    """The arrival rate is multiplied for a time."""
+
+    for_s: Positive
+    times: Positive = 3.0
+
+
+class RestartProxies(Fault, frozen=True):
+    """Planned restarts of all proxies by SIGTERM, one after the other."""
+
+    every_s: Positive = 4.0
+
+
+class KillProxy(Fault, frozen=True):
+    """A proxy is killed and starts again."""
+
+    proxy: Index
+    back_s: NotNegative = 1.0
+
+
+class FreezeProxy(Fault, frozen=True):
+    """A proxy is stopped by SIGSTOP for a time."""
+
+    proxy: Index
+    for_s: Positive = 2.0
+
+
+class KillServer(Fault, frozen=True):
+    """A server process is killed and starts again, in slow start."""
+
+    server: Index
+    back_s: NotNegative = 2.0
+
+
+class VanishServer(Fault, frozen=True):
+    """A server's machine disappears from the network without closing its connections."""
+
+    server: Index
+
+
+class ResettingServer(Fault, frozen=True):
+    """A server resets new sessions, though its health checks succeed."""
+
+    server: Index
+    for_s: Positive = 10.0
+
+
+class StaleReports(Fault, frozen=True):
+    """A share of the servers does not refresh its load reports for a time."""
+
+    for_s: Positive
+    part: Share = 1.0
+
+
+class SilentDiscovery(Fault, frozen=True):
+    """Discovery sends nothing for a time; pending changes are published afterwards."""
+
+    for_s: Positive
+
+
+class GarbledDiscovery(Fault, frozen=True):
+    """Discovery's streams carry unreadable data and end; full snapshots follow."""
+
+
+class CutZones(Fault, frozen=True):
+    """Nothing passes between zones for a time."""
+
+    for_s: Positive
+
+
+AnyFault = (
+    Pauses
+    | Shrink
+    | Grow
+    | Drop
+    | Rush
+    | RestartProxies
+    | KillProxy
+    | FreezeProxy
+    | KillServer
+    | VanishServer
+    | ResettingServer
+    | StaleReports
+    | SilentDiscovery
+    | GarbledDiscovery
+    | CutZones
+)
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -22,7 +22,8 @@
 import msgspec
 
 from stoatgw import __version__
-from stoatgw.emulator.world.scenario import Scenario, load_scenario
+from stoatgw.emulator.world.scenario import Scenario
+from stoatgw.emulator.world.scenario_file import load_scenario
 from stoatgw.lab import runner
 from stoatgw.lab.errors import LabError
 
--- a/stoatgw/lab/speed.py
+++ b/stoatgw/lab/speed.py
@@ -12,7 +12,8 @@
 
 from stoatgw.emulator.virtual.driver import VirtualDriver
 from stoatgw.emulator.world.events import EventSink
-from stoatgw.emulator.world.scenario import Scenario, Shrink
+from stoatgw.emulator.world.scenario import Scenario
+from stoatgw.emulator.world.scenario_faults import Shrink
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.experiment import find_scenario
 from stoatgw.lab.tables import Value, write_csv
@@ -26,7 +27,7 @@
 
 def scaled(servers: int) -> Scenario:
     """A calm day with a drain in it, of so many servers, one proxy for twenty of them (three at least)."""
-    from stoatgw.emulator.world.scenario import load_scenario
+    from stoatgw.emulator.world.scenario_file import load_scenario
 
     base = load_scenario(find_scenario("large"))
     length_s = LENGTHS_S.get(servers, LONG_S)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -27,15 +27,8 @@
 from stoatgw.emulator.virtual.session_model import Session
 from stoatgw.emulator.world.events import Event, EventKind, EventSink
 from stoatgw.emulator.world.population import Client, draw_population
-from stoatgw.emulator.world.scenario import (
-    Fleet,
-    Module,
-    Scenario,
-    ScenarioError,
-    ServerKind,
-    load_scenario,
-    parse_scenario,
-)
+from stoatgw.emulator.world.scenario import Fleet, Module, Scenario, ServerKind
+from stoatgw.emulator.world.scenario_file import ScenarioError, load_scenario, parse_scenario
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel, draw_server_properties
 from stoatgw.emulator.world.service_accounting import ServiceAccounting, compute_goal
 from stoatgw.emulator.world.streams import RandomStreams
@@ -352,7 +345,7 @@
 
 def test_one_seed_gives_one_log_whatever_the_hash_seed() -> None:
     code = (
-        "from pathlib import Path; from stoatgw.emulator.world.scenario import load_scenario; "
+        "from pathlib import Path; from stoatgw.emulator.world.scenario_file import load_scenario; "
         "from stoatgw.emulator.world.events import EventSink; "
         "from stoatgw.emulator.virtual.driver import VirtualDriver; "
         "s = EventSink(); VirtualDriver(load_scenario(Path('scenarios/crashes.toml')), 3, s).run(); "
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -15,7 +15,7 @@
 from stoatgw.emulator.checker.checker import Rule
 from stoatgw.emulator.world.events import Event, EventKind, decode_event
 from stoatgw.emulator.world.population import draw_population
-from stoatgw.emulator.world.scenario import load_scenario
+from stoatgw.emulator.world.scenario_file import load_scenario
 from stoatgw.emulator.world.streams import RandomStreams
 from stoatgw.lab import runner
 from stoatgw.lab.compare import compare, interval
