--- a/stoatgw/emulator/checker/checker.py
+++ b/stoatgw/emulator/checker/checker.py
@@ -11,7 +11,7 @@
 from enum import StrEnum
 
 from stoatgw.emulator.world.events import Event, EventKind
-from stoatgw.emulator.world.server_model import MIN_WARM_UP_EXCESS_UNITS
+from stoatgw.emulator.world.warm_up import MIN_WARM_UP_EXCESS_UNITS
 
 
 class Rule(StrEnum):
--- a/stoatgw/emulator/loopback/clients.py
+++ b/stoatgw/emulator/loopback/clients.py
@@ -9,8 +9,8 @@
 from typing import TYPE_CHECKING
 
 from stoatgw.emulator.loopback import wire
+from stoatgw.emulator.world.client import Client
 from stoatgw.emulator.world.events import EventKind
-from stoatgw.emulator.world.population import Client
 
 if TYPE_CHECKING:
     from stoatgw.emulator.loopback.driver import LoopbackDriver
--- a/stoatgw/emulator/loopback/discovery.py
+++ b/stoatgw/emulator/loopback/discovery.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from stoatgw.emulator.loopback import wire
-from stoatgw.emulator.world.world_state import EndpointEntry
+from stoatgw.emulator.world.endpoint_publication import EndpointEntry
 
 if TYPE_CHECKING:
     from stoatgw.emulator.loopback.driver import LoopbackDriver
@@ -69,7 +69,7 @@
         return {"generation": self._generation, "reset": whole, "instances": instances}
 
     def whole(self) -> dict[str, Any]:
-        return self.page(list(self._driver.world.known_endpoints[self._proxy].values()), True)
+        return self.page(list(self._driver.world.discovery.known_endpoints[self._proxy].values()), True)
 
     def tell(self, rows: list[EndpointEntry], whole: bool) -> bool:
         """Write to whoever watches; whether anybody does."""
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -21,12 +21,14 @@
 from stoatgw.emulator.loopback.discovery import DiscoveryEndpoint
 from stoatgw.emulator.loopback.processes import ProxyProcess
 from stoatgw.emulator.loopback.servers import ServerConnection, ServerEndpoint
-from stoatgw.emulator.world import faults
 from stoatgw.emulator.world.client_population import ClientPopulation
+from stoatgw.emulator.world.endpoint_publication import EndpointEntry
 from stoatgw.emulator.world.events import EventKind, EventSink
+from stoatgw.emulator.world.faults import schedule_faults
+from stoatgw.emulator.world.proxy_settings import proxy_settings
 from stoatgw.emulator.world.scenario import Scenario
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
-from stoatgw.emulator.world.world_state import EndpointEntry, WorldState
+from stoatgw.emulator.world.world_state import WorldState
 
 BASE_NETWORK = 60  # the addresses are 127.60.x.x and up
 AFTER_S = 4.0  # after the last arrival, until all is answered
@@ -54,7 +56,7 @@
 class LoopbackDriver(ClientPopulation[ClientConnection]):
     def __init__(self, scenario: Scenario, seed: int, sink: EventSink, folder: Path, base: int = BASE_NETWORK) -> None:
         self.scheduler = RealTimeScheduler(asyncio.get_running_loop())
-        super().__init__(WorldState(scenario, seed, self.scheduler, sink, booked=False))
+        super().__init__(WorldState(scenario, seed, self.scheduler, sink, accounts_servers=False))
         self.base, self._folder = base, folder
         self.sessions: dict[str, ClientConnection] = {}
         self.server_numbers: dict[str, int] = {}
@@ -85,7 +87,7 @@
             gc.freeze()
             world.begin_measurement()
             self.scheduler.start_measurement()
-            faults.schedule(world)
+            schedule_faults(world)
             self.schedule_arrivals()
             if self.observe_start is not None:
                 self.utilization_samples = self.observe_start(world)
@@ -132,7 +134,7 @@
                     "sockets": world.scenario.proxies.sockets,
                 },
                 "known": self._discoveries[index].whole(),
-                "settings": world.proxy_settings(index),
+                "settings": proxy_settings(world.scenario, index),
             }
             # The driver keeps the first core to itself where there are enough.
             mine = {cores[1 + index % (len(cores) - 1)]} if len(cores) > 1 else set(cores)
@@ -258,7 +260,7 @@
         self._discoveries[proxy].garble()
 
     def log_snapshot(self, proxy: int) -> None:
-        self._log_told(proxy, list(self.world.known_endpoints[proxy].values()))
+        self._log_told(proxy, list(self.world.discovery.known_endpoints[proxy].values()))
 
     def _log_told(self, proxy: int, rows: list[EndpointEntry]) -> None:
         for row in rows:
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -31,12 +31,15 @@
 )
 from stoatgw.emulator.virtual.event_loop import ProcessEventLoop, VirtualScheduler
 from stoatgw.emulator.virtual.session_model import Session
-from stoatgw.emulator.world import faults
 from stoatgw.emulator.world.client_population import ClientPopulation
+from stoatgw.emulator.world.endpoint_publication import EndpointEntry
 from stoatgw.emulator.world.events import EventKind, EventSink
+from stoatgw.emulator.world.faults import schedule_faults
+from stoatgw.emulator.world.proxy_settings import proxy_settings
 from stoatgw.emulator.world.scenario import Scenario
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
-from stoatgw.emulator.world.world_state import EndpointEntry, UniformSource, WorldState
+from stoatgw.emulator.world.streams import UniformSource
+from stoatgw.emulator.world.world_state import WorldState
 from stoatgw.rebalance.rebalancer import Rebalancer
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
@@ -131,7 +134,7 @@
         for index in range(len(world.proxy_names)):
             self.proxies.append(self._start_proxy(index))
         self._stand_all()
-        faults.schedule(world)
+        schedule_faults(world)
         self.schedule_arrivals()
         kernel.run_until(world.end_us)
         for machine in world.servers.values():
@@ -151,7 +154,7 @@
     def _start_proxy(self, index: int) -> Proxy:
         world, name = self.world, self.world.proxy_names[index]
         loop, counters = ProcessEventLoop(self.scheduler), Counters()  # type: ignore[abstract]
-        settings = read_settings(flatten(world.proxy_settings(index)))
+        settings = read_settings(flatten(proxy_settings(world.scenario, index)))
         starts, self._starts[index] = self._starts[index], self._starts[index] + 1
         seed = world.streams.number(f"module {index}", starts)
         limits = world.scenario.operators.rebalance
@@ -160,7 +163,7 @@
         draws = UniformSource(world.streams.of(f"proxy {index}", starts))
         proxy = Proxy(index, name, world.proxy_zone(index), loop, owner, BackendRegistry(), settings, draws, counters)
         world.log(EventKind.PROXY_STATE_CHANGED, name, detail="up")
-        known = list(world.known_endpoints[index].values())
+        known = list(world.discovery.known_endpoints[index].values())
         loop.deliver(lambda: owner.start(VirtualGateway(self, proxy), mover))
         self._told(proxy, known, whole=True)
         loop.deliver(partial(self._begin_owner, proxy))
@@ -255,7 +258,9 @@
 
     def corrupt_endpoint_stream(self, proxy: int) -> None:
         """What cannot be read changes nothing; the watch begins anew, with the whole list."""
-        self.scheduler.call_at(self.scheduler.now_us() + WATCH_AGAIN_US, partial(self.world.publish_snapshot, proxy))
+        self.scheduler.call_at(
+            self.scheduler.now_us() + WATCH_AGAIN_US, partial(self.world.discovery.publish_snapshot, proxy)
+        )
 
     def _told(self, proxy: Proxy, rows: list[EndpointEntry], whole: bool) -> None:
         entries = _entries(rows)
@@ -441,6 +446,6 @@
 
     def fetch_endpoints(self) -> None:
         proxy, world = self._proxy, self._driver.world
-        rows = world.known_endpoints[proxy.index].values()
+        rows = world.discovery.known_endpoints[proxy.index].values()
         entries = _entries(rows)
         proxy.controller.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 0, entries)))
--- a/stoatgw/emulator/virtual/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -84,8 +84,7 @@
         """Whether a cold machine's budget has room, seen as a whole (both policies see it: it is a rule)."""
         if machine.warm_up_fraction(now_us) >= 1.0:
             return True
-        since_us = now_us - machine.rules.fall_ms * 1000
-        spent = sum(each for at_us, each in machine.recent_sends if at_us > since_us)
+        spent = machine.warm_up_budget.spent_units(now_us)
         under_way = machine.setups_in_progress * 2.0
         return spent + under_way + units <= COLD_PART * machine.max_warm_up_units(now_us)
 
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -19,8 +19,8 @@
     RequestState,
 )
 from stoatgw.decisions.interface import AttemptStatus, Request
+from stoatgw.emulator.world.client import Client
 from stoatgw.emulator.world.events import EventKind
-from stoatgw.emulator.world.population import Client
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
 
 if TYPE_CHECKING:
--- a/stoatgw/emulator/world/client_population.py
+++ b/stoatgw/emulator/world/client_population.py
@@ -1,6 +1,7 @@
-"""The clients of a run and the front before the proxies, whatever the driver: who tries when, and what came of it.
+"""The clients of a run and the load balancer before the proxies: who connects when, and what came of it.
 
-A driver says how a session is opened, left and quit; when a client comes again, and what is counted, is here.
+It is the same for both drivers. A driver says how a session is opened, ended and closed; when a client connects again,
+and what is counted, is here.
 """
 
 from __future__ import annotations
@@ -8,10 +9,11 @@
 from functools import partial
 from typing import Generic, Protocol, TypeVar
 
-from stoatgw.emulator.world.population import Client
-from stoatgw.emulator.world.world_state import UniformSource, WorldState
+from stoatgw.emulator.world.client import Client
+from stoatgw.emulator.world.streams import UniformSource
+from stoatgw.emulator.world.world_state import WorldState
 
-COUNTS = (
+COUNTERS = (
     "tries",
     "first_tries",
     "up",
@@ -31,160 +33,171 @@
 
 
 class ClientSession(Protocol):
-    """A client's session at a proxy, as the crowd sees it."""
+    """A client's session at a proxy, as the population sees it."""
 
     client: Client
     request_class: int
     requested_us: int
-    is_client_answered: bool
+    is_client_answered: bool  # it has its answer, or waits no longer
 
 
-V = TypeVar("V", bound=ClientSession)
+SessionT = TypeVar("SessionT", bound=ClientSession)
 
 
-class ClientPopulation(Generic[V]):
+class ClientPopulation(Generic[SessionT]):
+    """All clients, their open sessions and the counters of the run; the base class of the drivers."""
+
     def __init__(self, world: WorldState) -> None:
         self.world = world
-        population, clients = world.population, world.scenario.clients
-        self.clients = [Client(index, population, clients) for index in range(len(population))]
-        self.open_sessions: list[V | None] = [None] * len(self.clients)
-        self.is_admitting: list[bool] = [True] * len(world.proxy_names)
+        clients = world.scenario.clients
+        self.clients = [Client(index, world.population, clients) for index in range(len(world.population))]
+        self.open_sessions: list[SessionT | None] = [None] * len(self.clients)
+        self.is_admitting: list[bool] = [True] * len(world.proxy_names)  # proxies that new clients are sent to
         self.front_random = UniformSource(world.streams.of("front"))
-        self._drops = 0
-        self.setup_times_us: list[tuple[int, int]] = []  # (class, from the client's sending to UP)
-        self.counts: dict[str, int] = dict.fromkeys(COUNTS, 0)
+        self.setup_times_us: list[tuple[int, int]] = []  # class, and time from the client's sending to UP
+        self.counts: dict[str, int] = dict.fromkeys(COUNTERS, 0)
+        self._mass_disconnects = 0
 
-    # What a driver does.
+    # What a driver implements.
 
-    def open_session(self, index: int, proxy: int) -> V | None:
-        """Connect a client to a proxy; None if nobody is there."""
+    def open_session(self, index: int, proxy: int) -> SessionT | None:
+        """Connect a client to a proxy; None if no process listens there."""
         raise NotImplementedError
 
-    def disconnect_client(self, session: V) -> None:
-        """The client ends its side, with or without an answer."""
+    def disconnect_client(self, session: SessionT) -> None:
+        """The client closes its side, with or without an answer."""
         raise NotImplementedError
 
-    def finish_session(self, session: V) -> None:
-        """The client has had what it wanted, and says so to its server."""
+    def finish_session(self, session: SessionT) -> None:
+        """The client no longer needs its session, and asks its server to end it."""
         raise NotImplementedError
 
-    # Tries.
+    # Connecting.
 
     def schedule_arrivals(self) -> None:
-        population, world = self.world.population, self.world
+        """Schedule the first connection of every new client, and the departure of every established one."""
+        world = self.world
+        population = world.population
         for index in range(population.established_count, len(population)):
-            world.scheduler.call_at(
-                world.start_us + int(population.arrival_us[index]), partial(self.connect_client, index)
-            )
+            arrival_us = world.start_us + int(population.arrival_us[index])
+            world.scheduler.call_at(arrival_us, partial(self.connect_client, index))
         for session in self.open_sessions:
             if session is not None:
-                self._plan_end(session)
+                self._schedule_departure(session)
 
-    def register_established(self, session: V) -> None:
-        """It stood before the run."""
+    def register_established(self, session: SessionT) -> None:
+        """Add a session that is established before the run starts."""
         self.open_sessions[session.client.index] = session
 
-    def _end_us(self, index: int) -> int:
-        return self.world.start_us + int(self.world.population.departure_us[index])
-
     def connect_client(self, index: int) -> None:
+        """Open a session for a client, unless it has one, or its time or the run is over."""
         world = self.world
-        if world.scheduler.now_us() >= min(self._end_us(index), world.end_us):
+        if world.scheduler.now_us() >= min(self._departure_us(index), world.end_us):
             return
         if self.open_sessions[index] is not None:
             return
         client = self.clients[index]
         self.counts["tries"] += 1
-        self.counts["first_tries"] += not client.is_retrying
-        proxy = self._choose_proxy(int(world.population.zone[index]))
+        if not client.is_retrying:
+            self.counts["first_tries"] += 1
+        proxy = self._select_proxy(int(world.population.zone[index]))
         session = self.open_session(index, proxy) if proxy is not None else None
         if session is None:
             self.counts["unreached"] += 1
-            self._again(index, client.delay_after_failure_us(0))
+            self._schedule_reconnect(index, client.delay_after_failure_us(0))
             return
         self.open_sessions[index] = session
 
-    def _choose_proxy(self, zone: int) -> int | None:
-        admitted = [proxy for proxy, admitted in enumerate(self.is_admitting) if admitted]
-        near = [proxy for proxy in admitted if self.world.proxy_zone(proxy) == zone]
-        found = near or admitted
-        return found[int(self.front_random.next() * len(found))] if found else None
+    def _select_proxy(self, zone: int) -> int | None:
+        """A random proxy of the client's zone, or of any zone if none there admits clients."""
+        admitting = [proxy for proxy, is_admitting in enumerate(self.is_admitting) if is_admitting]
+        local = [proxy for proxy in admitting if self.world.proxy_zone(proxy) == zone]
+        candidates = local or admitting
+        if not candidates:
+            return None
+        return candidates[int(self.front_random.next() * len(candidates))]
 
-    def _again(self, index: int, wait_us: int) -> None:
+    def _schedule_reconnect(self, index: int, wait_us: int) -> None:
         self.open_sessions[index] = None
         scheduler = self.world.scheduler
         scheduler.call_at(scheduler.now_us() + wait_us, partial(self.connect_client, index))
 
-    # What comes of them.
+    # Outcomes.
 
-    def time_out(self, session: V) -> None:
-        """The client's time is up; does nothing if an answer came."""
-        index = session.client.index
-        if self.open_sessions[index] is session and not session.is_client_answered:
+    def time_out(self, session: SessionT) -> None:
+        """The client's deadline has passed; does nothing if an answer came."""
+        if self._is_unanswered(session):
             session.is_client_answered = True
             self.counts["timed_out"] += 1
             self.counts["late_failures"] += 1
             self.disconnect_client(session)
-            self._again(index, session.client.delay_after_failure_us(0))
+            self._schedule_reconnect(session.client.index, session.client.delay_after_failure_us(0))
 
-    def record_unreachable(self, session: V) -> None:
-        """Its connection never came up."""
-        index = session.client.index
-        if self.open_sessions[index] is session and not session.is_client_answered:
+    def record_unreachable(self, session: SessionT) -> None:
+        """The client could not connect to its proxy."""
+        if self._is_unanswered(session):
             session.is_client_answered = True
             self.counts["unreached"] += 1
-            self._again(index, session.client.delay_after_failure_us(0))
+            self._schedule_reconnect(session.client.index, session.client.delay_after_failure_us(0))
 
-    def receive_answer(self, session: V, kind: str, advice_us: int) -> None:
-        """The proxy's answer has come at the client: up, busy or err."""
-        index, client = session.client.index, session.client
-        if self.open_sessions[index] is not session or session.is_client_answered:
+    def receive_answer(self, session: SessionT, kind: str, retry_after_us: int) -> None:
+        """The proxy's answer has reached the client: up, busy or err."""
+        if not self._is_unanswered(session):
             return
+        client = session.client
         session.is_client_answered = True
-        took_us = self.world.scheduler.now_us() - session.requested_us
+        elapsed_us = self.world.scheduler.now_us() - session.requested_us
         if kind == "up":
             self.counts["up"] += 1
-            self.setup_times_us.append((session.request_class, took_us))
+            self.setup_times_us.append((session.request_class, elapsed_us))
             client.record_success()
-            self._plan_end(session)
+            self._schedule_departure(session)
             return
         self.counts["refused" if kind == "busy" else "failed"] += 1
-        profile = self.world.scenario.clients.classes[session.request_class]
-        self.counts["late_failures"] += took_us > profile.on_time_ms * 1000
-        self._again(index, client.delay_after_failure_us(advice_us))
+        client_class = self.world.scenario.clients.classes[session.request_class]
+        if elapsed_us > client_class.on_time_ms * 1000:
+            self.counts["late_failures"] += 1
+        self._schedule_reconnect(client.index, client.delay_after_failure_us(retry_after_us))
 
-    def receive_disconnect(self, session: V, how: str) -> None:
-        """A connection ended at the client's side: MOVE, or a break."""
+    def receive_disconnect(self, session: SessionT, reason: str) -> None:
+        """A connection ended at the client's side; `reason` is moved (by MOVE) or broken."""
         index = session.client.index
         if self.open_sessions[index] is not session:
             return
         if not session.is_client_answered:  # it broke before any answer
             session.is_client_answered = True
             self.counts["failed"] += 1
-            self._again(index, session.client.delay_after_failure_us(0))
+            self._schedule_reconnect(index, session.client.delay_after_failure_us(0))
             return
         if self.world.scheduler.now_us() < self.world.end_us:  # what comes after is no part of the run
-            self.counts["moved" if how == "moved" else "broken"] += 1
-        self._again(index, session.client.delay_after_disconnect_us())
+            self.counts["moved" if reason == "moved" else "broken"] += 1
+        self._schedule_reconnect(index, session.client.delay_after_disconnect_us())
+
+    def _is_unanswered(self, session: SessionT) -> bool:
+        return self.open_sessions[session.client.index] is session and not session.is_client_answered
+
+    # Departures.
+
+    def _departure_us(self, index: int) -> int:
+        return self.world.start_us + int(self.world.population.departure_us[index])
 
-    def _plan_end(self, session: V) -> None:
-        end_us = self._end_us(session.client.index)
-        if end_us <= self.world.end_us:
-            self.world.scheduler.call_at(end_us, partial(self._quit, session))
+    def _schedule_departure(self, session: SessionT) -> None:
+        departure_us = self._departure_us(session.client.index)
+        if departure_us <= self.world.end_us:
+            self.world.scheduler.call_at(departure_us, partial(self._depart, session))
 
-    def _quit(self, session: V) -> None:
-        """The client has had what it wanted."""
+    def _depart(self, session: SessionT) -> None:
         index = session.client.index
         if self.open_sessions[index] is session:
             self.open_sessions[index] = None
             self.finish_session(session)
 
     def disconnect_clients(self, part: float, within_us: int) -> None:
-        """Of those that stand, a part breaks off; each comes again within the span."""
-        draws = UniformSource(self.world.streams.of("drops", self._drops))
-        self._drops += 1
+        """A share of the clients with sessions disconnects; each connects again within the span."""
+        random = UniformSource(self.world.streams.of("drops", self._mass_disconnects))
+        self._mass_disconnects += 1
         for index, session in enumerate(self.open_sessions):
-            if session is not None and session.is_client_answered and draws.next() < part:
+            if session is not None and session.is_client_answered and random.next() < part:
                 self.disconnect_client(session)
                 self.counts["broken"] += 1
-                self._again(index, self.clients[index].delay_after_disconnect_us(within_us))
+                self._schedule_reconnect(index, self.clients[index].delay_after_disconnect_us(within_us))
--- a/stoatgw/emulator/world/faults.py
+++ b/stoatgw/emulator/world/faults.py
@@ -1,130 +1,182 @@
-"""The scenario's faults, turned into what happens to the world and when."""
+"""Injects the faults of a scenario into the world, each at its time."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from functools import partial, singledispatchmethod
 
-from stoatgw.emulator.world import scenario_faults as files
+from stoatgw.emulator.world import scenario_faults as tables
 from stoatgw.emulator.world.events import EventKind
-from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
-from stoatgw.emulator.world.world_state import UniformSource, WorldState, fault_name
+from stoatgw.emulator.world.server_model import ServerModel
+from stoatgw.emulator.world.streams import UniformSource
+from stoatgw.emulator.world.world_state import WorldState
 
+SNAPSHOT_DELAY_S = 0.5  # after a corrupted endpoint stream
 
-def schedule(world: WorldState) -> None:
-    """Put all faults of the scenario into the world's time; each has a stream of its own."""
+
+def schedule_faults(world: WorldState) -> None:
+    """Schedule all faults of the scenario; each has a random stream of its own."""
     for number, fault in enumerate(world.scenario.faults):
-        at_us = world.start_us + int(fault.at_s * 1e6)
-        world.scheduler.call_at(at_us, lambda n=number, f=fault: _begin(world, n, f))  # type: ignore[misc]
+        begin_us = world.start_us + int(fault.at_s * 1e6)
+        world.scheduler.call_at(begin_us, partial(_begin_fault, world, number, fault))
+
 
+def _begin_fault(world: WorldState, number: int, fault: tables.AnyFault) -> None:
+    kind = tables.fault_kind(type(fault).__name__)
+    world.log(EventKind.FAULT_CHANGED, number=number, detail=f"{kind} begins")
+    injector = FaultInjector(world, UniformSource(world.streams.of("fault", number)))
+    duration_s = injector.inject(fault)
+    end_us = world.scheduler.now_us() + int(duration_s * 1e6)
+    world.scheduler.call_at(end_us, partial(world.log, EventKind.FAULT_CHANGED, number=number, detail=f"{kind} ends"))
 
-def _begin(world: WorldState, number: int, fault: files.AnyFault) -> None:
-    name = fault_name(fault)
-    world.log(EventKind.FAULT_CHANGED, number=number, detail=f"{name} begins")
-    draws = UniformSource(world.streams.of("fault", number))
-    span_s = _Begin(world, draws).run(fault)
-    end_us = world.scheduler.now_us() + int(span_s * 1e6)
-    world.scheduler.call_at(end_us, lambda: world.log(EventKind.FAULT_CHANGED, number=number, detail=f"{name} ends"))
 
+class FaultInjector:
+    """Begins one fault now, and schedules the rest of it."""
 
-class _Begin:
-    """Begins one fault; `run` gives how long it lasts, in seconds."""
+    def __init__(self, world: WorldState, random: UniformSource) -> None:
+        self._world = world
+        self._driver = world.driver
+        self._random = random
+        self._begin_us = world.scheduler.now_us()
 
-    def __init__(self, world: WorldState, draws: UniformSource) -> None:
-        self._world, self._draws = world, draws
-        self._now_us = world.scheduler.now_us()
+    @singledispatchmethod
+    def inject(self, fault: tables.Fault) -> float:
+        """Begin a fault; gives how long it lasts, in seconds."""
+        raise TypeError(f"no such fault: {type(fault).__name__}")
 
-    def _later(self, wait_s: float, action: Callable[[], None]) -> None:
-        self._world.scheduler.call_at(self._now_us + int(wait_s * 1e6), action)
+    # Servers.
 
-    def _some(self, part: float) -> list[ServerModel]:
-        """A part of the serving machines, drawn."""
+    @inject.register
+    def _inject_pauses(self, fault: tables.Pauses) -> float:
+        end_us = self._begin_us + int(fault.for_s * 1e6)
+        for server in self._draw_servers(fault.part):
+            self._schedule_pause(server, fault, end_us, self._random.between(0.0, fault.every_s[1]))
+        return fault.for_s
+
+    def _pause(self, server: ServerModel, fault: tables.Pauses, end_us: int) -> None:
+        now_us = self._world.scheduler.now_us()
+        if now_us >= end_us or server.lifecycle.is_dead:
+            return
+        server.pause(now_us, int(self._random.between(*fault.pause_ms) * 1000))
+        self._schedule_pause(server, fault, end_us, self._random.between(*fault.every_s))
+
+    def _schedule_pause(self, server: ServerModel, fault: tables.Pauses, end_us: int, wait_s: float) -> None:
+        now_us = self._world.scheduler.now_us()
+        self._world.scheduler.call_at(now_us + int(wait_s * 1e6), partial(self._pause, server, fault, end_us))
+
+    @inject.register
+    def _inject_shrink(self, fault: tables.Shrink) -> float:
+        serving = len(self._world.serving_servers())
+        draining = self._draw_servers(1.0)[: serving - max(1, round(fault.to * serving))]
+        for index, server in enumerate(draining):
+            self._schedule(fault.over_s * index / len(draining), partial(self._world.drain_server, server))
+        return fault.over_s
+
+    @inject.register
+    def _inject_grow(self, fault: tables.Grow) -> float:
+        missing = round(fault.to * self._world.scenario.fleet.servers) - len(self._world.serving_servers())
+        for index in range(max(0, missing)):
+            self._schedule(fault.over_s * index / missing, self._world.add_server)
+        return fault.over_s
+
+    @inject.register
+    def _inject_kill_server(self, fault: tables.KillServer) -> float:
+        server = self._initial_server(fault.server)
+        self._world.kill_server(server)
+        self._schedule(fault.back_s, partial(self._world.restart_server, server))
+        return fault.back_s
+
+    @inject.register
+    def _inject_vanish_server(self, fault: tables.VanishServer) -> float:
+        self._world.vanish_server(self._initial_server(fault.server))
+        return 0.0
+
+    @inject.register
+    def _inject_resetting_server(self, fault: tables.ResettingServer) -> float:
+        server = self._initial_server(fault.server)
+        server.is_resetting = True
+        self._schedule(fault.for_s, partial(_stop_resetting, server))
+        return fault.for_s
+
+    @inject.register
+    def _inject_stale_reports(self, fault: tables.StaleReports) -> float:
+        for server in self._draw_servers(fault.part):
+            server.has_stale_reports = True
+            self._schedule(fault.for_s, partial(_resume_reports, server))
+        return fault.for_s
+
+    # Clients.
+
+    @inject.register
+    def _inject_drop(self, fault: tables.Drop) -> float:
+        self._driver.disconnect_clients(fault.part, int(fault.within_s * 1e6))
+        return fault.within_s
+
+    @inject.register
+    def _inject_rush(self, fault: tables.Rush) -> float:
+        return fault.for_s  # the population was drawn with it
+
+    # Proxies.
+
+    @inject.register
+    def _inject_restart_proxies(self, fault: tables.RestartProxies) -> float:
+        proxy_count = len(self._world.proxy_names)
+        for proxy in range(proxy_count):
+            self._schedule(fault.every_s * proxy, partial(self._driver.restart_proxy, proxy))
+        return fault.every_s * proxy_count
+
+    @inject.register
+    def _inject_kill_proxy(self, fault: tables.KillProxy) -> float:
+        self._driver.kill_proxy(fault.proxy, int(fault.back_s * 1e6))
+        return fault.back_s
+
+    @inject.register
+    def _inject_freeze_proxy(self, fault: tables.FreezeProxy) -> float:
+        self._driver.freeze_proxy(fault.proxy, int(fault.for_s * 1e6))
+        return fault.for_s
+
+    # Discovery and network.
+
+    @inject.register
+    def _inject_silent_discovery(self, fault: tables.SilentDiscovery) -> float:
+        self._world.discovery.silence(self._begin_us + int(fault.for_s * 1e6))
+        return fault.for_s
+
+    @inject.register
+    def _inject_garbled_discovery(self, fault: tables.GarbledDiscovery) -> float:
+        for proxy in range(len(self._world.proxy_names)):
+            self._driver.corrupt_endpoint_stream(proxy)
+            self._schedule(SNAPSHOT_DELAY_S, partial(self._world.discovery.publish_snapshot, proxy))
+        return SNAPSHOT_DELAY_S
+
+    @inject.register
+    def _inject_cut_zones(self, fault: tables.CutZones) -> float:
+        self._set_partitioned(True)
+        self._schedule(fault.for_s, partial(self._set_partitioned, False))
+        return fault.for_s
+
+    def _set_partitioned(self, is_partitioned: bool) -> None:
+        self._world.is_partitioned = is_partitioned
+        self._driver.set_zones_partitioned(is_partitioned)
+
+    # Helpers.
+
+    def _schedule(self, wait_s: float, action: Callable[[], None]) -> None:
+        self._world.scheduler.call_at(self._begin_us + int(wait_s * 1e6), action)
+
+    def _draw_servers(self, share: float) -> list[ServerModel]:
+        """A share of the serving servers, in random order."""
         serving = self._world.serving_servers()
-        order = sorted(serving, key=lambda _: self._draws.next())
-        return order[: round(part * len(serving))]
+        shuffled = sorted(serving, key=lambda _: self._random.next())
+        return shuffled[: round(share * len(serving))]
 
-    def _machine(self, number: int) -> ServerModel:
+    def _initial_server(self, number: int) -> ServerModel:
         return self._world.servers[self._world.initial_servers[number]]
 
-    def run(self, fault: files.AnyFault) -> float:
-        world, stage = self._world, self._world.driver
-        match fault:
-            case files.Pauses():
-                for machine in self._some(fault.part):
-                    self._pause(machine, fault, self._now_us + int(fault.for_s * 1e6), first=True)
-                return fault.for_s
-            case files.Shrink():
-                serving = len(world.serving_servers())
-                leaving = self._some(1.0)[: serving - max(1, round(fault.to * serving))]
-                for place, machine in enumerate(leaving):
-                    self._later(fault.over_s * place / len(leaving), lambda m=machine: world.drain_server(m))  # type: ignore[misc]
-                return fault.over_s
-            case files.Grow():
-                lacks = round(fault.to * world.scenario.fleet.servers) - len(world.serving_servers())
-                for place in range(max(0, lacks)):
-                    self._later(fault.over_s * place / lacks, self._grow)
-                return fault.over_s
-            case files.Drop():
-                stage.disconnect_clients(fault.part, int(fault.within_s * 1e6))
-                return fault.within_s
-            case files.Rush():
-                return fault.for_s  # the arrivals were drawn with it
-            case files.RestartProxies():
-                for proxy in range(len(world.proxy_names)):
-                    self._later(fault.every_s * proxy, lambda p=proxy: stage.restart_proxy(p))  # type: ignore[misc]
-                return fault.every_s * len(world.proxy_names)
-            case files.KillProxy():
-                stage.kill_proxy(fault.proxy, int(fault.back_s * 1e6))
-                return fault.back_s
-            case files.FreezeProxy():
-                stage.freeze_proxy(fault.proxy, int(fault.for_s * 1e6))
-                return fault.for_s
-            case files.KillServer():
-                machine = self._machine(fault.server)
-                world.kill_server(machine)
-                self._later(fault.back_s, lambda: world.restart_server(machine))
-                return fault.back_s
-            case files.VanishServer():
-                world.vanish_server(self._machine(fault.server))
-                return 0.0
-            case files.ResettingServer():
-                machine = self._machine(fault.server)
-                machine.is_resetting = True
-                self._later(fault.for_s, lambda: setattr(machine, "is_resetting", False))
-                return fault.for_s
-            case files.StaleReports():
-                for machine in self._some(fault.part):
-                    machine.has_stale_reports = True
-                    self._later(fault.for_s, lambda m=machine: setattr(m, "has_stale_reports", False))  # type: ignore[misc]
-                return fault.for_s
-            case files.SilentDiscovery():
-                world.silence_discovery(self._now_us + int(fault.for_s * 1e6))
-                return fault.for_s
-            case files.GarbledDiscovery():
-                for proxy in range(len(world.proxy_names)):
-                    stage.corrupt_endpoint_stream(proxy)
-                    self._later(0.5, lambda p=proxy: world.publish_snapshot(p))  # type: ignore[misc]
-                return 0.5
-            case files.CutZones():
-                world.is_partitioned = True
-                stage.set_zones_partitioned(True)
-                self._later(fault.for_s, self._mend)
-                return fault.for_s
-
-    def _grow(self) -> None:
-        self._world.add_server()
-
-    def _mend(self) -> None:
-        self._world.is_partitioned = False
-        self._world.driver.set_zones_partitioned(False)
-
-    def _pause(self, machine: ServerModel, fault: files.Pauses, until_us: int, first: bool = False) -> None:
-        scheduler, draws = self._world.scheduler, self._draws
-        now_us = scheduler.now_us()
-        if now_us >= until_us or machine.lifecycle in (ServerLifecycle.GONE, ServerLifecycle.VANISHED):
-            return
-        if first:  # each at a phase of its own
-            wait_s = draws.between(0.0, fault.every_s[1])
-        else:
-            machine.pause(now_us, int(draws.between(*fault.pause_ms) * 1000))
-            wait_s = draws.between(*fault.every_s)
-        scheduler.call_at(now_us + int(wait_s * 1e6), lambda: self._pause(machine, fault, until_us))
+
+def _stop_resetting(server: ServerModel) -> None:
+    server.is_resetting = False
+
+
+def _resume_reports(server: ServerModel) -> None:
+    server.has_stale_reports = False
--- a/stoatgw/emulator/world/server_model.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -1,39 +1,49 @@
 """A session server as a model: capacity, load, backlog, messages, reports. Pure; the clock is handed in.
 
-Loads are in *units*, mean connections. A machine is filled by `full_units` of them while warm. What is asked over
-what it can do is its utilisation u; while u is over 1, or it stands still, work piles up (`backlog_s`, seconds of
-its whole capacity) and messages wait for it. docs/emulator.md derives each formula.
+Loads are in *units*, mean connections; `capacity_units` of them fill a warm server. Utilization is the load over the
+capacity of the moment. While it is over 1, or the server is paused, work piles up (`backlog_s`, seconds of the whole
+machine's time) and messages wait for it. docs/emulator.md derives each formula.
 """
 
 from __future__ import annotations
 
 import math
-from collections import Counter, deque
+from collections import Counter
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from enum import Enum
 
 import numpy as np
 
-from stoatgw.emulator.world.scenario import Fleet, Module, ServerKind
+from stoatgw.emulator.world.scenario import Module
+from stoatgw.emulator.world.server_properties import ServerProperties
 from stoatgw.emulator.world.service_accounting import ServiceAccounting
+from stoatgw.emulator.world.setup_decision import SetupDecision, SetupOutcome
+from stoatgw.emulator.world.warm_up import WarmUpBudget, warm_up_fraction
 
-STEP_US = 25_000  # while work is piled up, its course is followed in steps of this length
-MIN_WARM_UP_EXCESS_UNITS = 3.0  # units sent to a cold server beyond its budget that may be chance
-SHED_TO = 0.9  # utilisation down to which a server that piles up too much drops its newest
-U_MOST = 0.98  # utilisation at which the tail of message times is as long as it gets
+BACKLOG_STEP_US = 25_000  # while there is a backlog, it is integrated in steps of this length
+SHED_TO_UTILIZATION = 0.9  # a server with too much backlog drops its newest connections down to this
+MAX_TAIL_UTILIZATION = 0.98  # from here on the tail of message latencies grows no longer
+UNREPORTED_BACKLOG_S = 0.05  # backlog that does not show in the load report
 
 
 class ServerLifecycle(Enum):
+    """The state of a server; the values are those of the endpoint list."""
+
     SERVING = "SERVING"
     DRAINING = "DRAINING"
     GONE = "DELETED"  # the process ended: connections are refused
-    VANISHED = "vanished"  # the machine says nothing any more
+    VANISHED = "vanished"  # the machine disappeared from the network
+
+    @property
+    def is_dead(self) -> bool:
+        """Whether no process answers any more."""
+        return self in (ServerLifecycle.GONE, ServerLifecycle.VANISHED)
 
 
 @dataclass(slots=True, eq=False)
 class HeldConnection:
-    """A connection on a machine."""
+    """An established connection on a server."""
 
     connection_id: str
     request_class: int
@@ -43,77 +53,17 @@
     on_dropped: Callable[[], None] | None = None
 
 
-@dataclass(frozen=True, slots=True)
-class ServerProperties:
-    """A machine's drawn properties."""
-
-    name: str
-    zone: int
-    kind: int
-    cores: int
-    speed: float
-    capacity_units: float
-    max_connections: int
-    message_work_s: float
-    full_table_overhead: float
-    group_cost: float
-    max_backlog_s: float
-    setup_work_range_s: tuple[float, float]  # of the whole machine's time
-    health_check_work_s: float
-    report_interval_us: int
-    report_delay_us: int
-    report_noise: float
-    initial_warm_up_fraction: float
-    warm_up_us: int
-
-
-def draw_server_properties(
-    name: str, zone: int, number: int, kind: ServerKind, fleet: Fleet, aim_s: float, stream: np.random.Generator
-) -> ServerProperties:
-    """Draw a machine of a kind; `number` is the kind's place in the list."""
-    uniform = stream.uniform
-    speed = float(uniform(*kind.speed))
-    full = float(uniform(*fleet.per_core)) * kind.cores * speed
-    power = kind.cores * speed
-    return ServerProperties(
-        name=name,
-        zone=zone,
-        kind=number,
-        cores=kind.cores,
-        speed=speed,
-        capacity_units=full,
-        max_connections=max(1, int(full * uniform(*fleet.cap))),
-        message_work_s=float(uniform(*fleet.message)) * aim_s,
-        full_table_overhead=float(uniform(*fleet.full_tax)),
-        group_cost=fleet.group_cost,
-        max_backlog_s=float(uniform(*fleet.buffer_s)),
-        setup_work_range_s=(fleet.setup_ms[0] / 1e3 / power, fleet.setup_ms[1] / 1e3 / power),
-        health_check_work_s=float(uniform(*fleet.probe_ms)) / 1e3 / power,
-        report_interval_us=max(1000, int(uniform(*fleet.report_ms) * 1000)),
-        report_delay_us=int(uniform(*fleet.report_late_ms) * 1000),
-        report_noise=float(uniform(*fleet.report_noise)),
-        initial_warm_up_fraction=float(uniform(*kind.cold_from)),
-        warm_up_us=int(uniform(*kind.cold_s) * 1e6),
-    )
-
-
-@dataclass(slots=True)
-class SetupDecision:
-    """What a machine does with an OPEN line: up, busy or reset, at a time."""
-
-    outcome: str
-    decided_at_us: int
-
-
 @dataclass(eq=False)
 class ServerModel:
+    """The state of one server, known up to `now_us`; every call hands in a time that is not before that."""
+
     properties: ServerProperties
-    latency_objectives_s: tuple[float, ...]
+    latency_objectives_s: tuple[float, ...]  # by class
     rules: Module
     accounting: ServiceAccounting
     random: np.random.Generator
-    now_us: int  # up to where its course is known
-    started_us: int = 0  # when it last started cold; 0: long ago
+    now_us: int
+    started_us: int = 0  # when its process last started; 0: long ago
     lifecycle: ServerLifecycle = ServerLifecycle.SERVING
     is_resetting: bool = False
     has_stale_reports: bool = False
@@ -122,215 +72,223 @@
     connections: dict[str, HeldConnection] = field(default_factory=dict)
     groups: Counter[int] = field(default_factory=Counter)
     total_load_units: float = 0.0
-    reachable_counts: list[int] = field(default_factory=list)
+    reachable_counts: list[int] = field(init=False)  # by class
     setups_in_progress: int = 0
-    errors: int = 0
-    recent_sends: deque[tuple[int, float]] = field(default_factory=deque)
+    warm_up_budget: WarmUpBudget = field(init=False)
     on_collapse: Callable[[], None] | None = None
-    report: dict[str, float] = field(default_factory=dict)
-    _pending: list[tuple[int, dict[str, float]]] = field(default_factory=list)
+    report: dict[str, float] = field(init=False)  # what health checks show
+    _pending_reports: list[tuple[int, dict[str, float]]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.reachable_counts = [0] * len(self.latency_objectives_s)
+        self.warm_up_budget = WarmUpBudget(self.properties, self.rules)
         self.report = self._measure()
 
-    # What it can do, and how late it is.
+    @property
+    def name(self) -> str:
+        """Its name in the endpoint list."""
+        return self.properties.name
+
+    # Capacity and latency.
 
     def warm_up_fraction(self, now_us: int) -> float:
-        """Part of its full capacity that it has by now."""
-        age_us, cold_us = now_us - self.started_us, self.properties.warm_up_us
-        if self.started_us <= 0 or age_us >= cold_us:
+        """Share of its full capacity that it has by now."""
+        age_us = now_us - self.started_us
+        if self.started_us <= 0 or age_us >= self.properties.warm_up_us:
             return 1.0
-        return (
-            self.properties.initial_warm_up_fraction
-            + (1.0 - self.properties.initial_warm_up_fraction) * age_us / cold_us
-        )
+        return warm_up_fraction(age_us, self.properties.initial_warm_up_fraction, self.properties.warm_up_us)
 
     @property
     def utilization(self) -> float:
-        full = self.properties.capacity_units * self.warm_up_fraction(self.now_us)
-        table = 1.0 - self.properties.full_table_overhead * min(
-            1.0, len(self.connections) / self.properties.max_connections
-        )
-        return (self.total_load_units + self.properties.group_cost * len(self.groups)) / (full * table)
+        """Load over the capacity of the moment; over 1 work piles up."""
+        properties = self.properties
+        capacity_units = properties.capacity_units * self.warm_up_fraction(self.now_us)
+        table_fill = min(1.0, len(self.connections) / properties.max_connections)
+        remaining_share = 1.0 - properties.full_table_overhead * table_fill
+        load_units = self.total_load_units + properties.group_cost * len(self.groups)
+        return load_units / (capacity_units * remaining_share)
 
     def queueing_delay_s(self) -> float:
         """What a message that comes now waits before its own work begins."""
         return self.backlog_s + max(0, self.paused_until_us - self.now_us) / 1e6
 
-    def on_time_fraction(self, aim_s: float, wait_s: float, utilisation: float) -> float:
-        """Share of the messages that are answered within an aim: an exponential tail, as M/M/1 has it."""
-        if wait_s >= aim_s:
+    def on_time_fraction(self, latency_objective_s: float, delay_s: float, utilization: float) -> float:
+        """Share of the messages answered within an objective: an exponential tail, as in an M/M/1 queue."""
+        if delay_s >= latency_objective_s:
             return 0.0
-        return 1.0 - math.exp(-(aim_s - wait_s) * (1.0 - min(U_MOST, utilisation)) / self.properties.message_work_s)
+        idle_share = 1.0 - min(MAX_TAIL_UTILIZATION, utilization)
+        return 1.0 - math.exp(-(latency_objective_s - delay_s) * idle_share / self.properties.message_work_s)
 
     def draw_message_latency_s(self) -> float:
-        """The time that one message takes now, drawn."""
-        tail = self.properties.message_work_s / (1.0 - min(U_MOST, self.utilization))
-        return self.queueing_delay_s() + float(self.random.exponential(tail))
+        """The latency of one message that comes now."""
+        mean_s = self.properties.message_work_s / (1.0 - min(MAX_TAIL_UTILIZATION, self.utilization))
+        return self.queueing_delay_s() + float(self.random.exponential(mean_s))
 
     def advance_to(self, now_us: int) -> None:
-        """Follow its course up to a time, and book what its connections earned."""
+        """Advance the backlog to a time, and record the service of its connections until then."""
         while self.now_us < now_us:
-            paused = self.paused_until_us > self.now_us
-            until = min(now_us, self.paused_until_us) if paused else now_us
-            utilisation = self.utilization
-            if paused or self.backlog_s > 0.0 or utilisation > 1.0:
-                until = min(until, self.now_us + STEP_US)
-            self._earn(until, utilisation)
-            span_s = (until - self.now_us) / 1e6
-            gained = utilisation if paused else utilisation - 1.0
-            self.backlog_s = max(0.0, self.backlog_s + gained * span_s)
-            self.now_us = until
-
-    def _earn(self, until_us: int, utilisation: float) -> None:
-        if self.lifecycle in (ServerLifecycle.GONE, ServerLifecycle.VANISHED):
+            is_paused = self.paused_until_us > self.now_us
+            until_us = min(now_us, self.paused_until_us) if is_paused else now_us
+            utilization = self.utilization
+            if is_paused or self.backlog_s > 0.0 or utilization > 1.0:
+                until_us = min(until_us, self.now_us + BACKLOG_STEP_US)
+            self._record_service(until_us, utilization)
+            span_s = (until_us - self.now_us) / 1e6
+            growth = utilization if is_paused else utilization - 1.0
+            self.backlog_s = max(0.0, self.backlog_s + growth * span_s)
+            self.now_us = until_us
+
+    def _record_service(self, until_us: int, utilization: float) -> None:
+        if self.lifecycle.is_dead:
             return
-        wait_s = self.queueing_delay_s()
-        for profile, count in enumerate(self.reachable_counts):
+        delay_s = self.queueing_delay_s()
+        for request_class, count in enumerate(self.reachable_counts):
             if count:
-                share = self.on_time_fraction(self.latency_objectives_s[profile], wait_s, utilisation)
-                self.accounting.record_service(self.now_us, until_us, profile, count, share)
+                share = self.on_time_fraction(self.latency_objectives_s[request_class], delay_s, utilization)
+                self.accounting.record_service(self.now_us, until_us, request_class, count, share)
 
-    # Connections.
+    # Session set-up.
 
-    def handle_open(self, now_us: int, units: float, group: int | None, cut_us: int) -> SetupDecision:
-        """An OPEN line has come whole. `units` is what the sender could expect of it."""
+    def handle_open(self, now_us: int, units: float, group: int | None, deadline_us: int) -> SetupDecision:
+        """Decide on a complete session request; `units` is the load that its sender could expect of it."""
         self.advance_to(now_us)
-        self._pressed(now_us, units)
+        self._charge_warm_up(now_us, units)
         if self.is_resetting:
-            return SetupDecision("reset", now_us)
-        if (
-            self.lifecycle is not ServerLifecycle.SERVING
-            or len(self.connections) + self.setups_in_progress >= self.properties.max_connections
-        ):
-            return SetupDecision("busy", now_us + int(self.queueing_delay_s() * 1e6))
+            return SetupDecision(SetupOutcome.RESET, now_us)
+        is_full = len(self.connections) + self.setups_in_progress >= self.properties.max_connections
+        if self.lifecycle is not ServerLifecycle.SERVING or is_full:
+            return SetupDecision(SetupOutcome.BUSY, now_us + int(self.queueing_delay_s() * 1e6))
         self.backlog_s += float(self.random.uniform(*self.properties.setup_work_range_s))
         ready_us = now_us + int(self.queueing_delay_s() * 1e6)
         self.setups_in_progress += 1
-        # One whose client's time is up when its turn comes is turned away unseen.
-        return SetupDecision("up" if ready_us < cut_us else "busy", min(ready_us, max(now_us, cut_us)))
+        # A request whose deadline has passed when it is dequeued is rejected without any work.
+        outcome = SetupOutcome.ESTABLISHED if ready_us < deadline_us else SetupOutcome.BUSY
+        return SetupDecision(outcome, min(ready_us, max(now_us, deadline_us)))
 
     def finish_setup(self) -> None:
-        """A set-up begun by `opened` is over, one way or the other."""
+        """A set-up begun by `handle_open` is over, whatever its outcome."""
         self.setups_in_progress -= 1
 
-    def add_connection(self, now_us: int, held: HeldConnection) -> None:
+    def expected_load_units(self, group: int | None) -> float:
+        """What one more connection is expected to cost: itself, and its group if that is new here."""
+        if group is None or self.groups[group] > 0:
+            return 1.0
+        return 1.0 + self.properties.group_cost
+
+    def max_warm_up_units(self, now_us: int) -> float:
+        """Load units that may be sent within the window of the slow-start rule."""
+        return self.warm_up_budget.max_units(self.warm_up_fraction(now_us))
+
+    def _charge_warm_up(self, now_us: int, units: float) -> None:
+        """Every request that reaches a server in slow start counts against its budget, also a rejected one."""
+        fraction = self.warm_up_fraction(now_us)
+        if fraction >= 1.0 or self.lifecycle is not ServerLifecycle.SERVING:
+            self.warm_up_budget.reset()
+            return
+        if self.warm_up_budget.is_exceeded_by(now_us, units, fraction) and self.on_collapse is not None:
+            self.on_collapse()
+
+    # Connections.
+
+    def add_connection(self, now_us: int, connection: HeldConnection) -> None:
+        """A connection is established."""
         self.advance_to(now_us)
-        self.connections[held.connection_id] = held
-        self.total_load_units += held.load_units
-        self.reachable_counts[held.request_class] += held.is_reachable
-        if held.group is not None:
-            self.groups[held.group] += 1
-
-    def remove_connection(self, now_us: int, conn: str) -> HeldConnection | None:
-        held = self.connections.get(conn)
-        if held is None:
+        self.connections[connection.connection_id] = connection
+        self.total_load_units += connection.load_units
+        if connection.is_reachable:
+            self.reachable_counts[connection.request_class] += 1
+        if connection.group is not None:
+            self.groups[connection.group] += 1
+
+    def remove_connection(self, now_us: int, connection_id: str) -> HeldConnection | None:
+        """A connection is over; None if it is not held."""
+        connection = self.connections.get(connection_id)
+        if connection is None:
             return None
         self.advance_to(now_us)
-        del self.connections[conn]
-        self.total_load_units = self.total_load_units - held.load_units if self.connections else 0.0
-        self.reachable_counts[held.request_class] -= held.is_reachable
-        if held.group is not None:
-            self.groups[held.group] -= 1
-            if not self.groups[held.group]:
-                del self.groups[held.group]
-        return held
-
-    def update_load(self, now_us: int, conn: str, units: float) -> None:
-        """A connection's load is another from now on."""
-        held = self.connections.get(conn)
-        if held is not None:
+        del self.connections[connection_id]
+        self.total_load_units = self.total_load_units - connection.load_units if self.connections else 0.0
+        if connection.is_reachable:
+            self.reachable_counts[connection.request_class] -= 1
+        if connection.group is not None:
+            self.groups[connection.group] -= 1
+            if not self.groups[connection.group]:
+                del self.groups[connection.group]
+        return connection
+
+    def update_load(self, now_us: int, connection_id: str, units: float) -> None:
+        """A connection has another load from now on."""
+        connection = self.connections.get(connection_id)
+        if connection is not None:
             self.advance_to(now_us)
-            self.total_load_units += units - held.load_units
-            held.load_units = units
+            self.total_load_units += units - connection.load_units
+            connection.load_units = units
 
-    def set_reachable(self, now_us: int, conn: str, live: bool) -> None:
-        """Whether messages get through to the connection's client."""
-        held = self.connections.get(conn)
-        if held is not None and held.is_reachable != live:
+    def set_reachable(self, now_us: int, connection_id: str, is_reachable: bool) -> None:
+        """Set whether messages get through to the connection's client."""
+        connection = self.connections.get(connection_id)
+        if connection is not None and connection.is_reachable != is_reachable:
             self.advance_to(now_us)
-            held.is_reachable = live
-            self.reachable_counts[held.request_class] += 1 if live else -1
+            connection.is_reachable = is_reachable
+            self.reachable_counts[connection.request_class] += 1 if is_reachable else -1
 
     def handle_health_check(self, now_us: int) -> int:
-        """A probe comes; gives when it is answered (it is served beside the queue, but not in a pause)."""
+        """A health check arrives; gives when it is answered: without queueing, but not during a pause."""
         self.advance_to(now_us)
         self.backlog_s += self.properties.health_check_work_s
         return max(now_us, self.paused_until_us) + int(self.properties.health_check_work_s * 1e6)
 
-    # Troubles.
+    # Faults and reports.
 
     def pause(self, now_us: int, span_us: int) -> None:
+        """Stop all work for a time."""
         self.advance_to(now_us)
         self.paused_until_us = max(self.paused_until_us, now_us + span_us)
 
-    def expected_load_units(self, group: int | None) -> float:
-        """What one more connection is expected to cost: itself, and its group where that is new here."""
-        return 1.0 if group is None or self.groups[group] > 0 else 1.0 + self.properties.group_cost
-
-    def max_warm_up_units(self, now_us: int) -> float:
-        """Units that may be sent in a window of `fall_ms` while it is cold."""
-        rules, share = self.rules, self.warm_up_fraction(now_us)
-        budget = (
-            rules.fall_multiple
-            * share
-            * self.properties.capacity_units
-            * rules.fall_ms
-            * 1000
-            / self.properties.warm_up_us
-        )
-        return budget + MIN_WARM_UP_EXCESS_UNITS
-
-    def _pressed(self, now_us: int, units: float) -> None:
-        """Everything that reaches a cold machine presses on it, also what it turns away."""
-        if self.warm_up_fraction(now_us) >= 1.0 or self.lifecycle is not ServerLifecycle.SERVING:
-            self.recent_sends.clear()
-            return
-        self.recent_sends.append((now_us, units))
-        while self.recent_sends[0][0] <= now_us - self.rules.fall_ms * 1000:
-            self.recent_sends.popleft()
-        if sum(each for _, each in self.recent_sends) > self.max_warm_up_units(now_us) and self.on_collapse is not None:
-            self.on_collapse()
-
     def start_cold(self, now_us: int) -> None:
-        """The process starts, cold and empty."""
+        """The process starts, empty and in slow start."""
         self.advance_to(now_us)
-        self.lifecycle, self.started_us, self.backlog_s, self.paused_until_us = ServerLifecycle.SERVING, now_us, 0.0, 0
-        self.recent_sends.clear()
-        self._pending.clear()
+        self.lifecycle = ServerLifecycle.SERVING
+        self.started_us = now_us
+        self.backlog_s = 0.0
+        self.paused_until_us = 0
+        self.warm_up_budget.reset()
+        self._pending_reports.clear()
         self.report = self._measure()
 
-    # Once a report period.
-
     def refresh_report(self, now_us: int) -> list[HeldConnection]:
-        """Refresh the report; gives the newest connections that it drops for work piled up."""
+        """Refresh the report, once an interval; gives the newest connections, dropped for too much backlog."""
         self.advance_to(now_us)
-        while self._pending and self._pending[0][0] <= now_us:
-            self.report = self._pending.pop(0)[1]
+        while self._pending_reports and self._pending_reports[0][0] <= now_us:
+            self.report = self._pending_reports.pop(0)[1]
         if not self.has_stale_reports:
-            self._pending.append((now_us + self.properties.report_delay_us, self._measure()))
+            self._pending_reports.append((now_us + self.properties.report_delay_us, self._measure()))
         if self.backlog_s <= self.properties.max_backlog_s or self.lifecycle is not ServerLifecycle.SERVING:
             return []
-        dropped: list[HeldConnection] = []
-        left = self.total_load_units
-        full = (
-            self.properties.capacity_units * self.warm_up_fraction(now_us) * (1.0 - self.properties.full_table_overhead)
+        return self._shed_connections(now_us)
+
+    def _shed_connections(self, now_us: int) -> list[HeldConnection]:
+        """Select the newest connections, one at least, until the rest fit; the caller closes them."""
+        properties = self.properties
+        remaining_units = self.total_load_units
+        capacity_units = (
+            properties.capacity_units * self.warm_up_fraction(now_us) * (1.0 - properties.full_table_overhead)
         )
-        for held in reversed(self.connections.values()):
-            if dropped and left + self.properties.group_cost * len(self.groups) <= SHED_TO * full:
+        dropped: list[HeldConnection] = []
+        for connection in reversed(self.connections.values()):
+            load_units = remaining_units + properties.group_cost * len(self.groups)
+            if dropped and load_units <= SHED_TO_UTILIZATION * capacity_units:
                 break
-            dropped.append(held)
-            left -= held.load_units
-        self.backlog_s = self.properties.max_backlog_s / 2
+            dropped.append(connection)
+            remaining_units -= connection.load_units
+        self.backlog_s = properties.max_backlog_s / 2
         return dropped
 
     def _measure(self) -> dict[str, float]:
         noise = 1.0 + self.properties.report_noise * float(self.random.standard_normal())
-        load = max(0.0, (self.utilization + max(0.0, self.backlog_s - 0.05)) * noise)
-        errors, self.errors = self.errors, 0
+        load = max(0.0, (self.utilization + max(0.0, self.backlog_s - UNREPORTED_BACKLOG_S)) * noise)
         return {
-            "eps": errors * 1e6 / self.properties.report_interval_us,
+            "eps": 0.0,  # the model makes no errors
             "inflight": float(len(self.connections) + self.setups_in_progress),
             "util": min(1.0, load),
             "x0": load,
--- a/stoatgw/emulator/world/service_accounting.py
+++ b/stoatgw/emulator/world/service_accounting.py
@@ -1,4 +1,4 @@
-"""Service: the worth of well-served connection seconds over the worth asked for, by second and class."""
+"""Service: the weight of well-served session seconds over the weight demanded, by second and class."""
 
 from __future__ import annotations
 
@@ -7,68 +7,75 @@
 WINDOW_S = 10
 PENALTY_RATES = {"cross_zone": 0.1, "waste": 0.2, "probe": 0.004, "moves": 0.01, "late_fail": 0.08}
 SHARE_WEIGHTS = {"whole": 0.55, "worst_window": 0.15, "worst_class": 0.3}
+US_PER_S = 1_000_000
 
 
 class ServiceAccounting:
-    """Earned and asked worth in buckets of a second."""
+    """Demanded and earned priority weight, in buckets of one second for each class."""
 
-    def __init__(self, start_us: int, length_s: float, worths: tuple[float, ...]) -> None:
-        self._start_us, self._worths = start_us, worths
+    def __init__(self, start_us: int, length_s: float, priority_weights: tuple[float, ...]) -> None:
+        self._start_us = start_us
+        self._priority_weights = priority_weights
         self._seconds = int(np.ceil(length_s))
         self._length_us = int(length_s * 1e6)
-        self._earned = [[0.0] * self._seconds for _ in worths]
-        self.demanded_weight = np.zeros((len(worths), self._seconds))
+        self._earned = [[0.0] * self._seconds for _ in priority_weights]
+        self.demanded_weight = np.zeros((len(priority_weights), self._seconds))
 
     def start_at(self, start_us: int) -> None:
-        """The run's first moment; nothing was booked yet."""
+        """Set when the run begins; to be called before anything is recorded."""
         self._start_us = start_us
 
-    def record_service(self, from_us: int, to_us: int, profile: int, connections: float, share: float) -> None:
-        """So many connections of a class were served for a time; `share` of their messages in time."""
-        if connections <= 0 or share <= 0.0:
+    def record_service(
+        self, from_us: int, to_us: int, request_class: int, connections: float, on_time_share: float
+    ) -> None:
+        """Count `connections` of a class as served for a span, with a share of their messages on time."""
+        if connections <= 0 or on_time_share <= 0.0:
             return
-        worth, earned = connections * share * self._worths[profile], self._earned[profile]
-        at = max(0, from_us - self._start_us)
-        end = min(to_us - self._start_us, self._length_us)
-        while at < end:
-            second = at // 1_000_000
-            until = min(end, (second + 1) * 1_000_000)
-            earned[second] += worth * (until - at) / 1e6
-            at = until
+        weight = connections * on_time_share * self._priority_weights[request_class]
+        earned = self._earned[request_class]
+        position_us = max(0, from_us - self._start_us)
+        end_us = min(to_us - self._start_us, self._length_us)
+        while position_us < end_us:
+            second = position_us // US_PER_S
+            bucket_end_us = min(end_us, (second + 1) * US_PER_S)
+            earned[second] += weight * (bucket_end_us - position_us) / 1e6
+            position_us = bucket_end_us
 
-    def record_demand(self, profiles: np.ndarray, from_us: np.ndarray, to_us: np.ndarray) -> None:
-        """What clients want: arrays of class, begin and end (us of the run's clock)."""
-        edges = np.arange(self._seconds + 1) * 1_000_000
-        for profile, worth in enumerate(self._worths):
-            mine = profiles == profile
-            begin = np.clip(from_us[mine] - self._start_us, 0, self._length_us)
-            end = np.clip(to_us[mine] - self._start_us, 0, self._length_us)
+    def record_demand(self, request_classes: np.ndarray, from_us: np.ndarray, to_us: np.ndarray) -> None:
+        """Count the sessions that clients want: arrays of class, begin and end (us of the run's clock)."""
+        edges_us = np.arange(self._seconds + 1) * US_PER_S
+        for request_class, weight in enumerate(self._priority_weights):
+            selected = request_classes == request_class
+            begin_us = np.clip(from_us[selected] - self._start_us, 0, self._length_us)
+            end_us = np.clip(to_us[selected] - self._start_us, 0, self._length_us)
             # Seconds wanted up to each edge, summed over clients: differences give each bucket.
-            upto = [(np.clip(edge, begin, end) - begin).sum() / 1e6 for edge in edges]
-            self.demanded_weight[profile] += worth * np.diff(upto)
+            seconds_before = [(np.clip(edge_us, begin_us, end_us) - begin_us).sum() / 1e6 for edge_us in edges_us]
+            self.demanded_weight[request_class] += weight * np.diff(seconds_before)
 
     @property
     def earned_weight(self) -> np.ndarray:
+        """Earned weight by class and second."""
         return np.array(self._earned)
 
     def service_shares(self) -> dict[str, float]:
-        """Shares from 0 to 1: `whole`, `worst_window` (10 s), `worst_class`, and each class by number."""
-        earned, asked = self.earned_weight, self.demanded_weight
-        result = {"whole": _share(earned.sum(), asked.sum())}
-        windows = range(max(1, self._seconds - WINDOW_S + 1))
-        result["worst_window"] = min(
-            _share(earned[:, at : at + WINDOW_S].sum(), asked[:, at : at + WINDOW_S].sum()) for at in windows
-        )
-        classes = [_share(earned[each].sum(), asked[each].sum()) for each in range(len(self._worths))]
-        result["worst_class"] = min(classes)
-        return result | {f"class_{number}": share for number, share in enumerate(classes)}
+        """Shares from 0 to 1: `whole`, `worst_window` (10 s), `worst_class`, and `class_N` for each class."""
+        earned = self.earned_weight
+        demanded = self.demanded_weight
+        windows = [slice(first, first + WINDOW_S) for first in range(max(1, self._seconds - WINDOW_S + 1))]
+        by_class = [_share(earned[each].sum(), demanded[each].sum()) for each in range(len(self._priority_weights))]
+        shares = {
+            "whole": _share(earned.sum(), demanded.sum()),
+            "worst_window": min(_share(earned[:, span].sum(), demanded[:, span].sum()) for span in windows),
+            "worst_class": min(by_class),
+        }
+        return shares | {f"class_{number}": share for number, share in enumerate(by_class)}
 
 
-def compute_goal(service: dict[str, float], shares: dict[str, float]) -> float:
-    """The operators' figure: weighted service less the prices; `shares` has what is priced, from 0 up."""
-    total = sum(SHARE_WEIGHTS[name] * service[name] for name in SHARE_WEIGHTS)
-    return total - sum(price * min(1.0, shares.get(name, 0.0)) for name, price in PENALTY_RATES.items())
+def compute_goal(service_shares: dict[str, float], penalized_shares: dict[str, float]) -> float:
+    """The operators' figure: weighted service less the penalties; `penalized_shares` are counted from 0 up to 1."""
+    total = sum(SHARE_WEIGHTS[name] * service_shares[name] for name in SHARE_WEIGHTS)
+    return total - sum(rate * min(1.0, penalized_shares.get(name, 0.0)) for name, rate in PENALTY_RATES.items())
 
 
-def _share(earned: float, asked: float) -> float:
-    return float(min(1.0, earned / asked)) if asked > 0 else 1.0
+def _share(earned: float, demanded: float) -> float:
+    return float(min(1.0, earned / demanded)) if demanded > 0 else 1.0
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -25,11 +25,13 @@
 from stoatgw.emulator.virtual.event_loop import ProcessEventLoop, VirtualScheduler
 from stoatgw.emulator.virtual.policies import omniscient_policy, random_policy
 from stoatgw.emulator.virtual.session_model import Session
+from stoatgw.emulator.world.client import Client
 from stoatgw.emulator.world.events import Event, EventKind, EventSink
-from stoatgw.emulator.world.population import Client, draw_population
+from stoatgw.emulator.world.population import draw_population
 from stoatgw.emulator.world.scenario import Fleet, Module, Scenario, ServerKind
 from stoatgw.emulator.world.scenario_file import ScenarioError, load_scenario, parse_scenario
-from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel, draw_server_properties
+from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
+from stoatgw.emulator.world.server_properties import ServerIdentity, draw_server_properties
 from stoatgw.emulator.world.service_accounting import ServiceAccounting, compute_goal
 from stoatgw.emulator.world.streams import RandomStreams
 
@@ -107,7 +109,7 @@
     kind = ServerKind(name="k", share=1.0, cores=2, cold_from=(0.2, 0.2), cold_s=(10.0, 10.0))
     plain = {"per_core": (25.0, 25.0), "full_tax": (0.0, 0.0), "cap": (1.5, 1.5), "message": (0.05, 0.05)}
     rows = Fleet(kinds=(kind,), **(plain | fleet))
-    drawn = draw_server_properties("s-0000", 0, 0, kind, rows, 0.1, np.random.default_rng(1))
+    drawn = draw_server_properties(ServerIdentity("s-0000", zone=0, kind=0), rows, 0.1, np.random.default_rng(1))
     ledger = ServiceAccounting(0, 60, (2.0, 1.0))
     return ServerModel(drawn, (0.1, 0.25), Module(), ledger, np.random.default_rng(2), 0, started)
 
@@ -321,7 +323,7 @@
 ) -> None:
     """By the operators' words: beyond the budget N only 2 * root of N + 2 is chance. In fleet-herd 28 proxies die."""
     monkeypatch.setattr(
-        "stoatgw.emulator.world.server_model.MIN_WARM_UP_EXCESS_UNITS", 1e9
+        "stoatgw.emulator.world.warm_up.MIN_WARM_UP_EXCESS_UNITS", 1e9
     )  # none falls: all that is sent is seen
     _, checker, _ = play(scenario(name, f"proxies.count={count}"), chance=lambda budget: 2 * budget**0.5 + 2)
     assert [str(each) for each in checker.violations if "units within the window" in each.reason] == []
@@ -450,5 +452,5 @@
     file = tmp_path / "log"
     with file.open("wb") as out:
         sink = EventSink(file=out)
-        sink.record(5, EventKind.ATTEMPT_SENT, "n0", "r", "s", 1)
+        sink.record(Event(5, EventKind.ATTEMPT_SENT, "n0", "r", "s", 1))
     assert json.loads(file.read_text()) == [5, "sent", "n0", "r", "s", 1, ""]
