--- a/stoatgw/lab/runner.py
+++ b/stoatgw/lab/runner.py
@@ -10,7 +10,8 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from stoatgw.emulator.checker.checker import Checker, CheckerLimits
+from stoatgw.emulator.checker.checker import Checker
+from stoatgw.emulator.checker.rules import CheckerLimits
 from stoatgw.emulator.virtual.driver import SETTLE_US, PolicyBuilder, VirtualDriver, balancer_policy
 from stoatgw.emulator.virtual.policies import omniscient_policy, random_policy
 from stoatgw.emulator.world.events import Event, EventKind, EventSink
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -11,7 +11,8 @@
 from stoatgw.controller.messages import RequestState
 from stoatgw.controller.policy import DecisionPolicy, MakePolicy
 from stoatgw.decisions import interface as api
-from stoatgw.emulator.checker.checker import Checker, CheckerLimits, Rule
+from stoatgw.emulator.checker.checker import Checker
+from stoatgw.emulator.checker.rules import CheckerLimits, Rule
 from stoatgw.emulator.virtual.session_model import Session
 from stoatgw.emulator.world.events import Event, EventKind
 from stoatgw.emulator.world.world_state import WorldState
@@ -143,7 +144,7 @@
 
 # Logs written by hand.
 
-FIGURES = CheckerLimits(drain_grace_us=3_000_000, fall_multiple=4.0, fall_us=1_000_000)
+FIGURES = CheckerLimits(drain_grace_us=3_000_000, slow_start_multiple=4.0, slow_start_window_us=1_000_000)
 
 
 def judge(*rows: tuple[Any, ...], end_us: int = 10_000_000) -> list[Rule]:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -20,7 +20,8 @@
 
 from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import AttemptEstablished
-from stoatgw.emulator.checker.checker import Checker, CheckerLimits
+from stoatgw.emulator.checker.checker import Checker
+from stoatgw.emulator.checker.rules import CheckerLimits
 from stoatgw.emulator.virtual.driver import SETTLE_US, PolicyBuilder, VirtualDriver, balancer_policy
 from stoatgw.emulator.virtual.event_loop import ProcessEventLoop, VirtualScheduler
 from stoatgw.emulator.virtual.policies import omniscient_policy, random_policy
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from stoatgw.cli.main import main, stoatgw
-from stoatgw.emulator.checker.checker import Rule
+from stoatgw.emulator.checker.rules import Rule
 from stoatgw.emulator.world.events import Event, EventKind, decode_event
 from stoatgw.emulator.world.population import draw_population
 from stoatgw.emulator.world.scenario_file import load_scenario
