--- a/stoatgw/controller/actions.py
+++ b/stoatgw/controller/actions.py
@@ -2,7 +2,29 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from collections.abc import Callable, Iterable
+from typing import Any, Protocol
+
+from stoatgw.controller.attempts import AttemptTracker
+from stoatgw.controller.migrations import SessionMigrator
+from stoatgw.controller.requests import RequestTable
+from stoatgw.controller.timers import PolicyTimers
+from stoatgw.decisions.interface import (
+    Action,
+    Cancel,
+    CheckHealth,
+    CloseIdle,
+    Fail,
+    FetchEndpoints,
+    Gossip,
+    Log,
+    Migrate,
+    Reject,
+    Send,
+    SetTimer,
+    Subscribe,
+)
+from stoatgw.telemetry.log import EventLog
 
 
 class BackendGateway(Protocol):
@@ -19,3 +41,62 @@
     def fetch_endpoints(self) -> None:
         """Has the full endpoint list posted as `EndpointsUpdated`."""
         ...
+
+
+class ActionExecutor:
+    """Hands each action to the part that carries it out.
+
+    Called from the controller's task only. Actions for backends are dropped until `connect`.
+    """
+
+    def __init__(
+        self,
+        requests: RequestTable,
+        attempts: AttemptTracker,
+        migrations: SessionMigrator,
+        timers: PolicyTimers,
+        log: EventLog,
+    ) -> None:
+        self._log = log
+        self._gateway: BackendGateway | None = None
+        self._performers: dict[type[Action], Callable[[Any], None]] = {
+            Send: attempts.start,
+            Cancel: attempts.cancel,
+            Reject: requests.perform_reject,
+            Fail: requests.perform_fail,
+            Migrate: migrations.perform_migrate,
+            SetTimer: timers.set,
+            CheckHealth: self._check_health,
+            CloseIdle: self._close_idle,
+            FetchEndpoints: self._fetch_endpoints,
+            Log: self._write_log,
+            Subscribe: self._ignore,  # the endpoint list is watched all the time
+            Gossip: self._ignore,  # proxies share nothing
+        }
+
+    def connect(self, gateway: BackendGateway) -> None:
+        """Sets the way to the backends."""
+        self._gateway = gateway
+
+    def perform(self, actions: Iterable[Action]) -> None:
+        """Carries out the actions in order."""
+        for action in actions:
+            self._performers[type(action)](action)
+
+    def _check_health(self, action: CheckHealth) -> None:
+        if self._gateway is not None:
+            self._gateway.check_health(action.server)
+
+    def _close_idle(self, action: CloseIdle) -> None:
+        if self._gateway is not None:
+            self._gateway.close_idle(action.server)
+
+    def _fetch_endpoints(self, _action: FetchEndpoints) -> None:
+        if self._gateway is not None:
+            self._gateway.fetch_endpoints()
+
+    def _write_log(self, action: Log) -> None:
+        self._log.event("decision_logged", text=action.message)
+
+    def _ignore(self, _action: Subscribe | Gossip) -> None:
+        pass
--- /dev/null
+++ b/stoatgw/controller/attempts.py
@@ -0,0 +1,131 @@
+"""The attempts of the requests: one at a time for each, from its start over an established session to its end."""
+
+from __future__ import annotations
+
+from stoatgw.controller.decision_runner import DecisionRunner
+from stoatgw.controller.messages import (
+    AttemptEnded,
+    AttemptEstablished,
+    SessionMetricObserved,
+    SessionRestored,
+)
+from stoatgw.controller.requests import RequestTable
+from stoatgw.decisions import interface
+from stoatgw.decisions.interface import (
+    AttemptOutcome,
+    AttemptStatus,
+    Cancel,
+    Idempotency,
+    Send,
+    SessionMetric,
+    Settings,
+)
+from stoatgw.telemetry.counters import Counters
+
+RETRY_GUARD_US = 20_000  # a retry sends its line so long before its key's lifetime ends, at the latest
+
+
+class AttemptTracker:
+    """Starts and cancels attempts for the policy and notifies it of what comes of them.
+
+    Called from the controller's task only.
+    """
+
+    def __init__(
+        self, settings: Settings, decisions: DecisionRunner, requests: RequestTable, counters: Counters
+    ) -> None:
+        self._settings = settings
+        self._decisions = decisions
+        self._requests = requests
+        self._counters = counters
+
+    # Actions of the policy.
+
+    def start(self, action: Send) -> None:
+        """Starts an attempt, cut at the client's deadline; one that may not start has the outcome `UNUSED`."""
+        state = self._requests.get(action.request_id)
+        if state is None:
+            return
+        number = state.attempts
+        if state.is_answered or state.active_attempt is not None or number >= self._settings.max_attempts:
+            # Never two at once, and none for a request that has its answer.
+            self._decisions.notify(
+                AttemptOutcome(action.request_id, number, action.server, AttemptStatus.UNUSED, 0, state.is_answered)
+            )
+            return
+        deadline_us = min(action.deadline_us or state.deadline_us, state.deadline_us)
+        state.begin_attempt(action.server, self._decisions.now_us)
+        self._counters.add("attempts")
+        request_class = self._requests.class_of(state)
+        if state.first_run_us is not None and request_class.idempotency is Idempotency.DEDUP:
+            state.retry_before_us = max(1, state.first_run_us + request_class.key_ttl_us - RETRY_GUARD_US)
+        state.handler.start_attempt(number, action.server, deadline_us)
+
+    def cancel(self, action: Cancel) -> None:
+        """Cancels an attempt that is still being set up."""
+        state = self._requests.get(action.request_id)
+        if state is not None and state.active_attempt == action.attempt and not state.is_established:
+            state.handler.cancel_attempt(action.attempt)
+
+    # Messages.
+
+    def handle_restored(self, message: SessionRestored) -> None:
+        """Takes in a session that was established before this process started."""
+        state = message.state
+        self._requests.add(state)
+        state.is_established = True
+        state.is_answered = True
+        state.begin_attempt(message.server, self._decisions.now_us)
+        self._decisions.notify(interface.SessionRestored(state.request, message.server))
+
+    def handle_established(self, message: AttemptEstablished) -> bool:
+        """Records that an attempt is established, which is the request's answer.
+
+        Returns:
+            Whether it is the attempt in flight; nothing is done for another one.
+        """
+        state = message.state
+        if state.active_attempt != message.attempt:
+            return False
+        state.is_established = True
+        state.mark_answered()
+        elapsed_us = self._decisions.now_us - state.sent_us
+        self._decisions.notify(
+            interface.AttemptEstablished(state.request.request_id, message.attempt, state.server, elapsed_us)
+        )
+        return True
+
+    def handle_ended(self, message: AttemptEnded) -> None:
+        """Records the end of the attempt in flight; a second report of an end does nothing."""
+        state = message.state
+        end = message.end
+        if state.active_attempt != message.attempt:
+            return
+        state.active_attempt = None
+        if state.first_run_us is None and not end.status.never_ran:
+            state.first_run_us = state.sent_us
+        self._counters.add(f"attempts_{end.status.value}")
+        is_final = state.is_answered or state.is_established
+        outcome = AttemptOutcome(
+            state.request.request_id,
+            message.attempt,
+            state.server,
+            end.status,
+            self._decisions.now_us - state.sent_us,
+            is_final,
+            end.load_report,
+        )
+        if is_final:
+            state.is_answered = True
+            self._requests.forget(state)
+        self._decisions.notify(outcome)
+        if state.is_orphaned and not state.is_answered:
+            self._requests.fail(state)
+
+    def handle_metric(self, message: SessionMetricObserved) -> None:
+        """Notifies the policy of what was observed on an established session."""
+        state = message.state
+        if state.is_established and state.active_attempt is not None:
+            self._decisions.notify(
+                SessionMetric(state.request.request_id, state.active_attempt, state.server, message.kind, message.value)
+            )
--- a/stoatgw/controller/graceful_shutdown.py
+++ b/stoatgw/controller/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""How the time from SIGTERM to the kill is spent: pure. The real proxy and the emulator's go by it alike."""
+"""How the time from SIGTERM to the kill is spent: pure. The real proxy and the emulator's both follow it."""
 
 from __future__ import annotations
 
@@ -7,17 +7,28 @@
 from stoatgw.controller.messages import BeginDrain
 from stoatgw.decisions.interface import Settings
 
-LONGEST_US = 3_000_000  # the longest deadline counts as so much at most; the kill comes 0.7 s after it
-NEWCOMERS_US = 400_000  # new clients are led here for so long after SIGTERM
-SERVE_US = 800_000  # who comes or waits is served for so long: newcomers, and some who were slow to ask
-HANDOVER_FIRST_US, HANDOVER_OVER_US = 50_000, 1_600_000
-LEAST_US = 1_000_000  # a plain stop answers newcomers for so long, though nobody stands
-END_US, ANSWER_US = 500_000, 100_000  # the end comes so long after the longest deadline; the last answers before it
+MAX_DEADLINE_US = 3_000_000  # the longest deadline counts as so much at most; the kill comes 0.7 s after it
+
+ACCEPT_WINDOW_US = 400_000  # new clients are routed here for so long after SIGTERM
+MAX_ADMISSION_WINDOW_US = 800_000  # requests are served for so long: of new clients, and of some that ask late
+MIN_SHUTDOWN_US = 1_000_000  # new clients are answered for so long, also where there are no sessions
+SHUTDOWN_MARGIN_US = 500_000  # the process ends so long after the longest deadline
+FINAL_ANSWER_MARGIN_US = 100_000  # the last requests are answered so long before the process ends
+
+HANDOVER_ACCEPT_WINDOW_US = 50_000
+MAX_HANDOVER_MIGRATION_WINDOW_US = 1_600_000
+HANDOVER_SHUTDOWN_MARGIN_US = 400_000
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownPlan:
-    """The drain, and after how long the process ends: not before the least, then once all have gone, at the most."""
+    """The drain of a shutdown, and when the process ends after SIGTERM.
+
+    Attributes:
+        drain: What the controller is told.
+        min_duration_us: The process does not end before that.
+        max_duration_us: It ends then at the latest; between the two, as soon as all clients have gone.
+    """
 
     drain: BeginDrain
     min_duration_us: int
@@ -25,16 +36,22 @@
 
 
 def plan_shutdown(settings: Settings, *, handed_over: bool) -> ShutdownPlan:
-    """What to do on SIGTERM. `handed_over`: another process of this proxy takes the clients from now on.
+    """Plans the shutdown on SIGTERM; `handed_over`: another process of this proxy accepts its clients.
 
-    A plain stop takes nearly all of its time. Those who stand are served until their turn; moved in a second, all
-    of a proxy's clients came to its peers between two reports, and most of them were refused. Newcomers are served
-    too, and moved with the others: refused, they would use up their tries while they are still led here.
+    A shutdown without handover takes nearly all of its time. Established sessions are served until they migrate: when
+    all migrated within a second, all of a proxy's clients came to its peers between two load reports, and most of them
+    were rejected. New clients are served too, and migrated with the others: rejected, they would use up their retries
+    while they are still routed here.
     """
-    longest_us = min(LONGEST_US, max(profile.deadline_us for profile in settings.profiles))
+    longest_us = min(MAX_DEADLINE_US, max(request_class.deadline_us for request_class in settings.profiles))
     if handed_over:
-        over_us = min(HANDOVER_OVER_US, max(0, longest_us - HANDOVER_FIRST_US))
-        return ShutdownPlan(BeginDrain(HANDOVER_FIRST_US, over_us, longest_us), 0, longest_us + 400_000)
-    most_us = longest_us + END_US
-    drain = BeginDrain(NEWCOMERS_US, max(0, longest_us - NEWCOMERS_US), min(SERVE_US, most_us - ANSWER_US))
-    return ShutdownPlan(drain, min(LEAST_US, most_us), most_us)
+        window_us = min(MAX_HANDOVER_MIGRATION_WINDOW_US, max(0, longest_us - HANDOVER_ACCEPT_WINDOW_US))
+        drain = BeginDrain(HANDOVER_ACCEPT_WINDOW_US, window_us, longest_us)
+        return ShutdownPlan(drain, 0, longest_us + HANDOVER_SHUTDOWN_MARGIN_US)
+    max_duration_us = longest_us + SHUTDOWN_MARGIN_US
+    drain = BeginDrain(
+        accept_window_us=ACCEPT_WINDOW_US,
+        migration_window_us=max(0, longest_us - ACCEPT_WINDOW_US),
+        admission_window_us=min(MAX_ADMISSION_WINDOW_US, max_duration_us - FINAL_ANSWER_MARGIN_US),
+    )
+    return ShutdownPlan(drain, min(MIN_SHUTDOWN_US, max_duration_us), max_duration_us)
--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -1,4 +1,8 @@
-"""What passes between the owner of the decisions and the sockets. No line protocol here."""
+"""The messages of the controller's queue, and the values that they carry. No line protocol, no sockets.
+
+Events of the decision policy with the same names (`SessionRestored`, `AttemptEstablished`, `ClientDisconnected`) are
+written `interface.X` in this package: a message carries the state of its request, an event only what policies read.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 
 class AttemptStage(Enum):
-    """How far an attempt had come; it decides whether the req may have run."""
+    """How far an attempt had come; it decides whether the request may have run."""
 
     CONNECTING = "connecting"
     SENDING = "sending"
@@ -30,53 +34,92 @@
 
 
 class RequestHandler(Protocol):
-    """The client's side of a req: where its attempts begin and its answer goes."""
+    """The client's side of a request, called from the controller's task.
+
+    No call may block; an exception would be taken for a fault of the policy.
+    """
 
-    def start_attempt(self, number: int, server: str, cut_at_us: int) -> None: ...
+    def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
+        """Starts an attempt; `AttemptEnded` is posted for it, once, `AttemptEstablished` at most once before."""
+        ...
 
-    def cancel_attempt(self, number: int) -> None: ...
+    def cancel_attempt(self, number: int) -> None:
+        """Cancels an attempt in flight; its end is posted all the same."""
+        ...
 
-    def reject(self, retry_after_us: int) -> None: ...
+    def reject(self, retry_after_us: int) -> None:
+        """Answers that the request was rejected; `retry_after_us` 0 gives no advice."""
+        ...
 
-    def fail(self) -> None: ...
+    def fail(self) -> None:
+        """Answers that the request failed."""
+        ...
 
-    def migrate(self) -> None: ...
+    def migrate(self) -> None:
+        """Closes the established session cleanly, so that its client comes back elsewhere."""
+        ...
 
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """A client's request and where it stands; only the owner changes it after its arrival."""
+    """A client's request and what became of it so far; only the controller's task changes it.
+
+    Attributes:
+        request: The request as the policy reads it.
+        deadline_us: When its client stops waiting for an answer.
+        handler: The client's side.
+        attempts: How many attempts were started; the next one has this number.
+        active_attempt: The number of the attempt in flight or established, if there is one.
+        server: The server of the last attempt.
+        sent_us: When the last attempt was started.
+        first_run_us: When the first attempt that may have run was started.
+        retry_before_us: The next attempt sends no line later than that; 0: at any time.
+        is_established: An attempt was established.
+        is_answered: The final answer is given, or nobody waits for it.
+        is_orphaned: A policy that failed took all knowledge of it away.
+        timeout_handle: Posts `RequestTimedOut` at the deadline.
+    """
 
     request: Request
     deadline_us: int
     handler: RequestHandler
     attempts: int = 0
-    active_attempt: int | None = None  # number of the attempt that is out
+    active_attempt: int | None = None
     server: str = ""
     sent_us: int = 0
-    first_run_us: int | None = None  # when the first attempt that may have run was sent
-    retry_before_us: int = 0  # the next attempt sends no line later than that; 0: at any time
+    first_run_us: int | None = None
+    retry_before_us: int = 0
     is_established: bool = False
-    is_answered: bool = False  # final answer given, or nobody waits for it
-    is_orphaned: bool = False  # the decisions lost it in a fault
-    timeout_handle: asyncio.TimerHandle | None = None  # fires when the client's time is up
+    is_answered: bool = False
+    is_orphaned: bool = False
+    timeout_handle: asyncio.TimerHandle | None = None
+
+    def begin_attempt(self, server: str, now_us: int) -> None:
+        """Counts an attempt as started now."""
+        self.active_attempt = self.attempts
+        self.attempts += 1
+        self.server = server
+        self.sent_us = now_us
 
     def mark_answered(self) -> None:
-        """The final answer is given, or nobody waits for it any more."""
+        """Records that the final answer is given, or that nobody waits for it any more."""
         self.is_answered = True
         if self.timeout_handle is not None:
-            self.timeout_handle.cancel()  # left to fire, it would keep the req and wake the owner for nothing
+            # Left to fire, it would keep the request in memory and wake the controller for nothing.
+            self.timeout_handle.cancel()
             self.timeout_handle = None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
+    """A client asks for a session. Posted by the task of its connection, once."""
+
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRestored:
-    """A connection that stood before the start is up again at its server."""
+    """A session of an earlier process is connected to its server again. Posted by the task of the attempt."""
 
     state: RequestState
     server: str
@@ -84,12 +127,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEstablished:
+    """The server accepted the session. Posted by the task of the attempt."""
+
     state: RequestState
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
+    """An attempt, established or not, is over. Posted by its task; by the event loop if the task never ran."""
+
     state: RequestState
     attempt: int
     end: AttemptEnd
@@ -97,12 +144,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """Nobody waits for the answer, or uses the session, any more. Posted by the task of the client's connection."""
+
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class SessionMetricObserved:
-    """News of a standing connection: its load, or how long a message takes."""
+    """The load of an established session, or the latency of its messages.
+
+    Posted by the task of the attempt, which reads load from the server's lines, and by the listener's latency monitor.
+    """
 
     state: RequestState
     kind: SessionMetricKind
@@ -111,11 +163,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
+    """The endpoint list, or what changed in it. Posted by the discovery client: its own task, or whoever calls it."""
+
     update: EndpointUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckCompleted:
+    """A health check ended. Posted by the task of the check, or by the task that receives the results of peers."""
+
     server: str
     status: AttemptStatus
     elapsed_us: int
@@ -124,55 +180,77 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer of the policy is due. Posted by the event loop."""
+
     token: int
     at_us: int
 
 
 @dataclass(frozen=True, slots=True)
 class RequestTimedOut:
-    """The client's time is up: an answer is owed now, whatever the decisions say."""
+    """The client's deadline has passed: an answer is owed now, whatever the policy does. Posted by the event loop."""
 
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class BeginDrain:
-    """The proxy is asked to stop: once no newcomers come any more, all are moved one by one."""
+    """The proxy is to lose all its clients: once no new ones come, their sessions migrate one by one.
+
+    Posted by the main task on SIGTERM, by the management API's task for an operator, and by the maintenance task.
 
-    accept_window_us: int  # they come for so long
-    migration_window_us: int  # and those who stand are moved over so long after that
-    admission_window_us: int = 0  # who comes or waits is served for so long, and moved then; 0: refused
+    Attributes:
+        accept_window_us: New clients are routed here for so long.
+        migration_window_us: The sessions migrate over so long after that.
+        admission_window_us: Requests are served for so long, and migrated then; 0: they are rejected at once.
+    """
+
+    accept_window_us: int
+    migration_window_us: int
+    admission_window_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class DrainAdmissionEnded:
-    """The time in a drain is over in which those who wait were still served: they are answered now."""
+    """The admission window of a drain is over: who waits is answered now. Posted by the event loop."""
 
 
 @dataclass(frozen=True, slots=True)
 class MigrateSession:
-    """A client's turn in a drain has come: it is moved."""
+    """The time of a session in a drain or an evacuation has come. Posted by the event loop."""
 
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class CancelDrain:
-    """The drain is called back: nobody else is moved, newcomers are taken."""
+    """The drain is cancelled: no further session migrates, requests are admitted.
+
+    Posted by the management API's task and by the maintenance task.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class EvacuateServer:
-    """A server is taken out by hand, or (out=False) used again: who stands there is moved, one by one."""
+    """A server was suspended, and its sessions migrate one by one; or it was resumed, and no more of them do.
+
+    Posted by whoever applies suspensions: the management API's task, the task that polls their file, and the
+    maintenance task.
+
+    Attributes:
+        server: The server's name.
+        is_suspended: Whether it was suspended, not resumed.
+        migration_window_us: The sessions migrate within so long.
+    """
 
     server: str
     is_suspended: bool
-    migration_window_us: int = 0  # within so long
+    migration_window_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class RebalanceDue:
-    """The time for a step towards balance."""
+    """The next step of rebalancing is due. Posted by the event loop."""
 
 
 Message = (
@@ -196,6 +274,8 @@
 
 
 class MessageQueue(Protocol):
-    """Where messages go: the owner, or what passes them on to it."""
+    """Where messages go: the controller, or what passes them on to it."""
 
-    def post(self, message: Message) -> None: ...
+    def post(self, message: Message) -> None:
+        """Queues a message; returns at once."""
+        ...
--- a/stoatgw/controller/migrations.py
+++ b/stoatgw/controller/migrations.py
@@ -1,10 +1,132 @@
-"""When established sessions are migrated to other servers or proxies."""
+"""When established sessions are migrated: in a drain, off suspended servers, and towards an even load."""
 
 from __future__ import annotations
 
+import asyncio
 from typing import Protocol
 
-from stoatgw.decisions.interface import ServerEstimate
+from stoatgw.controller.decision_runner import DecisionRunner
+from stoatgw.controller.drain import DrainSchedule
+from stoatgw.controller.messages import (
+    BeginDrain,
+    CancelDrain,
+    DrainAdmissionEnded,
+    EvacuateServer,
+    MessageQueue,
+    MigrateSession,
+    RebalanceDue,
+    RequestState,
+)
+from stoatgw.controller.requests import RequestTable
+from stoatgw.controller.timers import post_later
+from stoatgw.decisions.interface import Migrate, ServerEstimate
+from stoatgw.telemetry.counters import Counters
+
+
+class SessionMigrator:
+    """Migrates sessions in drains and off suspended servers, each at its own time.
+
+    Called from the controller's task only.
+    """
+
+    def __init__(
+        self,
+        requests: RequestTable,
+        decisions: DecisionRunner,
+        drain: DrainSchedule,
+        queue: MessageQueue,
+        counters: Counters,
+    ) -> None:
+        self._requests = requests
+        self._decisions = decisions
+        self._drain = drain
+        self._queue = queue
+        self._counters = counters
+        self._drain_timers: list[asyncio.TimerHandle] = []
+        self._evacuation_timers: dict[str, list[asyncio.TimerHandle]] = {}  # by suspended server
+
+    # Drain.
+
+    def handle_begin_drain(self, message: BeginDrain) -> None:
+        """Begins a drain: requests that wait are answered now or when admission ends, and all sessions migrate."""
+        self._cancel_drain_timers()
+        self._drain.begin(message, self._decisions.now_us)
+        sessions = list(self._requests.established())
+        if message.admission_window_us:
+            self._drain_timers.append(post_later(self._queue, message.admission_window_us / 1e6, DrainAdmissionEnded()))
+        else:
+            self._requests.answer_all_unserved()
+        for state, delay_s in zip(sessions, self._drain.migration_delays_s(len(sessions)), strict=True):
+            self._drain_timers.append(post_later(self._queue, delay_s, MigrateSession(state)))
+
+    def handle_admission_ended(self, _message: DrainAdmissionEnded) -> None:
+        """Answers the requests that still wait."""
+        self._requests.answer_all_unserved()
+
+    def handle_cancel_drain(self, _message: CancelDrain) -> None:
+        """Ends the drain: sessions that have not been migrated stay."""
+        self._cancel_drain_timers()
+        self._drain.cancel()
+
+    def _cancel_drain_timers(self) -> None:
+        for timer in self._drain_timers:
+            timer.cancel()
+        self._drain_timers.clear()
+
+    # Suspended servers.
+
+    def handle_evacuate_server(self, message: EvacuateServer) -> None:
+        """Migrates the sessions off a server that was suspended, one after the other, or stops doing so.
+
+        The endpoint list does not tell the server to drain, so that its restart would cut them off.
+        """
+        for timer in self._evacuation_timers.pop(message.server, []):
+            timer.cancel()
+        if not message.is_suspended:
+            return
+        sessions = [state for state in self._requests.established() if state.server == message.server]
+        window_s = message.migration_window_us / 1e6
+        self._evacuation_timers[message.server] = [
+            post_later(self._queue, window_s * index / len(sessions), MigrateSession(state))
+            for index, state in enumerate(sessions)
+        ]
+
+    # Single sessions.
+
+    def handle_migrate_session(self, message: MigrateSession) -> None:
+        """Migrates a session whose time in a drain or an evacuation has come."""
+        state = message.state
+        if state.is_established and state.active_attempt is not None:
+            self._migrate(state)
+
+    def on_established(self, state: RequestState) -> None:
+        """Sees to a new session that has to migrate soon: in a drain, or where its server was suspended meanwhile."""
+        if self._drain.is_draining:
+            delay_s = self._drain.next_late_migration_delay_s(self._decisions.now_us)
+            if delay_s > 0:
+                self._drain_timers.append(post_later(self._queue, delay_s, MigrateSession(state)))
+            else:
+                self._migrate(state)
+        elif state.server in self._evacuation_timers:
+            self._migrate(state)
+
+    def perform_migrate(self, action: Migrate) -> None:
+        """Migrates a session for the policy."""
+        state = self._requests.get(action.request_id)
+        if state is not None and state.is_established:
+            self._counters.add("migrations")
+            state.handler.migrate()
+
+    def _migrate(self, state: RequestState) -> None:
+        """Migrates a session after the policy has recorded it.
+
+        Otherwise the policy would take the drain of its own proxy for a fault of the servers, and avoid them all for
+        seconds after the drain is cancelled.
+        """
+        policy = self._decisions.migrating_policy
+        if policy is not None:
+            policy.migrate(state.request.request_id)
+        state.handler.migrate()
 
 
 class MigrationPlanner(Protocol):
@@ -15,3 +137,41 @@
     def plan(self, estimates: list[ServerEstimate], now_us: int) -> list[str]:
         """Returns the ids of the requests to migrate in this step, in order."""
         ...
+
+
+class RebalanceLoop:
+    """Has a planner migrate sessions towards an even load, step by step, until a drain begins.
+
+    Called from the controller's task only.
+    """
+
+    def __init__(
+        self, decisions: DecisionRunner, drain: DrainSchedule, queue: MessageQueue, counters: Counters
+    ) -> None:
+        self._decisions = decisions
+        self._drain = drain
+        self._queue = queue
+        self._counters = counters
+        self._planner: MigrationPlanner | None = None
+
+    def start(self, planner: MigrationPlanner) -> None:
+        """Schedules the first step."""
+        self._planner = planner
+        self._schedule_step(planner)
+
+    def handle_due(self, _message: RebalanceDue) -> None:
+        """Carries out one step and schedules the next one first, so that a fault ends this step only."""
+        planner = self._planner
+        if planner is None or self._drain.is_draining:
+            return
+        self._schedule_step(planner)
+        policy = self._decisions.migrating_policy
+        if policy is None:
+            return
+        now_us = self._decisions.now_us
+        for request_id in planner.plan(policy.estimates(now_us), now_us):
+            self._counters.add("migrations_planned")
+            self._decisions.perform(policy.migrate(request_id))
+
+    def _schedule_step(self, planner: MigrationPlanner) -> None:
+        post_later(self._queue, planner.interval_us / 1e6, RebalanceDue())
--- /dev/null
+++ b/stoatgw/controller/requests.py
@@ -0,0 +1,172 @@
+"""The requests that the controller knows, and their final answers: exactly one for each."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from stoatgw.controller.decision_runner import DecisionRunner
+from stoatgw.controller.drain import DrainSchedule
+from stoatgw.controller.messages import (
+    ClientDisconnected,
+    MessageQueue,
+    RequestReceived,
+    RequestState,
+    RequestTimedOut,
+)
+from stoatgw.controller.timers import post_later
+from stoatgw.decisions import interface
+from stoatgw.decisions.interface import Fail, Idempotency, KeyScope, Reject, RequestClass, Settings
+from stoatgw.telemetry.counters import Counters
+
+
+class RequestTable:
+    """The state of each request from its arrival until no answer is owed and no attempt is in flight.
+
+    Only the controller's task changes it.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        decisions: DecisionRunner,
+        drain: DrainSchedule,
+        queue: MessageQueue,
+        counters: Counters,
+    ) -> None:
+        self._settings = settings
+        self._decisions = decisions
+        self._drain = drain
+        self._queue = queue
+        self._counters = counters
+        self._states: dict[str, RequestState] = {}
+
+    def __len__(self) -> int:
+        return len(self._states)
+
+    def get(self, request_id: str) -> RequestState | None:
+        """Returns the state of a request, or None if it is not known (any more)."""
+        return self._states.get(request_id)
+
+    def add(self, state: RequestState) -> None:
+        """Takes a request in, until `forget`."""
+        self._states[state.request.request_id] = state
+
+    def forget(self, state: RequestState) -> None:
+        """Drops a request once no answer is owed and no attempt is in flight; until then does nothing."""
+        if state.is_answered and state.active_attempt is None:
+            self._states.pop(state.request.request_id, None)
+
+    def class_of(self, state: RequestState) -> RequestClass:
+        """Returns the settings of the request's class."""
+        return self._settings.profiles[state.request.request_class]
+
+    def established(self) -> Iterator[RequestState]:
+        """Yields the requests whose session is established."""
+        return (state for state in self._states.values() if state.is_established)
+
+    def unanswered(self) -> list[RequestState]:
+        """Returns the requests that are owed an answer."""
+        return [state for state in self._states.values() if not state.is_answered]
+
+    def connections_to(self, server: str) -> int:
+        """Counts the connections of this proxy to a server, established or being set up."""
+        return sum(
+            1
+            for state in self._states.values()
+            if state.server == server and (state.is_established or state.active_attempt is not None)
+        )
+
+    # Messages.
+
+    def handle_received(self, message: RequestReceived) -> None:
+        """Hands a new request to the policy, or rejects it where a drain admits none."""
+        state = message.state
+        now_us = self._decisions.now_us
+        if not self._drain.is_admitting(now_us):
+            self.reject(state, self._drain.retry_after_us(now_us))
+            return
+        self.add(state)
+        left_s = max(0.0, (state.deadline_us - now_us) / 1e6)
+        state.timeout_handle = post_later(self._queue, left_s, RequestTimedOut(state))
+        self._decisions.notify(state.request)
+
+    def handle_disconnected(self, message: ClientDisconnected) -> None:
+        """Notifies the policy that nobody waits for an answer any more."""
+        state = message.state
+        state.mark_answered()
+        if state.request.request_id in self._states:
+            self._notify_disconnected(state)
+            self.forget(state)
+
+    def handle_timed_out(self, message: RequestTimedOut) -> None:
+        """Answers a request whose deadline has passed, whatever the policy does."""
+        state = message.state
+        if not state.is_answered:
+            self._counters.add("requests_timed_out")
+            self._notify_disconnected(state)
+            self._answer_unserved(state)
+
+    # Actions of the policy.
+
+    def perform_reject(self, action: Reject) -> None:
+        """Rejects a request, unless it has its answer."""
+        state = self._states.get(action.request_id)
+        if state is not None and not state.is_answered:
+            self.reject(state, action.retry_after_us)
+
+    def perform_fail(self, action: Fail) -> None:
+        """Fails a request, unless it has its answer."""
+        state = self._states.get(action.request_id)
+        if state is not None and not state.is_answered:
+            self.fail(state)
+
+    # Final answers.
+
+    def reject(self, state: RequestState, retry_after_us: int) -> None:
+        """Answers that the request was rejected and may be repeated; `retry_after_us` 0 gives no advice."""
+        state.mark_answered()
+        self._counters.add("requests_rejected")
+        state.handler.reject(retry_after_us)
+        self.forget(state)
+
+    def fail(self, state: RequestState) -> None:
+        """Answers that the request failed and may have run."""
+        state.mark_answered()
+        self._counters.add("requests_failed")
+        state.handler.fail()
+        self.forget(state)
+
+    def answer_all_unserved(self) -> None:
+        """Answers all requests that wait; their attempts in flight are left to end."""
+        for state in self.unanswered():
+            self._answer_unserved(state)
+            if state.active_attempt is None:
+                self._notify_disconnected(state)  # the policy may hold it until health checks complete
+
+    def fail_orphans(self) -> None:
+        """Fails the requests that wait without an attempt; the others fail when theirs ends without success."""
+        for state in self.unanswered():
+            state.is_orphaned = True
+            if state.active_attempt is None:
+                self.fail(state)
+
+    def _answer_unserved(self, state: RequestState) -> None:
+        """Answers without a server: rejects where a repeat is known to be harmless, else fails."""
+        if self._is_harmless_to_repeat(state):
+            self.reject(state, self._drain.retry_after_us(self._decisions.now_us))
+        else:
+            self.fail(state)
+
+    def _is_harmless_to_repeat(self, state: RequestState) -> bool:
+        never_ran = state.first_run_us is None and state.active_attempt is None
+        if never_ran:
+            return True
+        if not self._drain.is_draining:
+            return False
+        request_class = self.class_of(state)
+        if request_class.idempotency is Idempotency.DEDUP:
+            return request_class.key_scope is KeyScope.ALL
+        return request_class.idempotency is Idempotency.RETRYABLE
+
+    def _notify_disconnected(self, state: RequestState) -> None:
+        self._decisions.notify(interface.ClientDisconnected(state.request.request_id))
--- a/stoatgw/telemetry/metrics.py
+++ b/stoatgw/telemetry/metrics.py
@@ -1,7 +1,4 @@
-"""The figures that operators read: each counted once, where it happens, and read without waiting on anything.
-
-`proxy.success.C`, `overload` and `error` are the final answers to clients of class C: UP, BUSY, any other line.
-"""
+"""The metrics that operators read at the second address."""
 
 from __future__ import annotations
 
@@ -10,30 +7,46 @@
 
 
 class RequestOutcome(Enum):
-    """How a request was answered."""
+    """How a request was answered; the values are part of the metrics' names."""
 
-    SUCCESS = "success"
-    OVERLOAD = "overload"
-    ERROR = "error"
+    SUCCESS = "success"  # UP
+    OVERLOAD = "overload"  # BUSY
+    ERROR = "error"  # any other line
 
 
 class RequestMetrics:
+    """Counts the final answers to clients and what is in flight; written and read in the event loop's thread.
+
+    Attributes:
+        dispatches: Attempts whose line was written completely to a session server.
+        open_requests: Requests received whose connection has not ended.
+    """
+
     def __init__(self, classes: Iterable[str]) -> None:
-        # Every class from the first reading on: 0 is a figure, a missing line is none.
-        self._answers = {verdict: dict.fromkeys(classes, 0) for verdict in RequestOutcome}
-        self.dispatches = 0  # attempts written whole to session servers
-        self.open_requests = 0  # requests taken whose connection has not ended
+        """Makes metrics for the request classes of these names, all 0.
 
-    def record_outcome(self, name: str, verdict: RequestOutcome) -> None:
-        if name in self._answers[verdict]:
-            self._answers[verdict][name] += 1
+        Every class is there from the first reading on: 0 is a value, a missing line is none.
+        """
+        self._answers = {outcome: dict.fromkeys(classes, 0) for outcome in RequestOutcome}
+        self.dispatches = 0
+        self.open_requests = 0
+
+    def record_outcome(self, class_name: str, outcome: RequestOutcome) -> None:
+        """Counts a final answer; one to a class that the settings do not name is not counted."""
+        if class_name in self._answers[outcome]:
+            self._answers[outcome][class_name] += 1
 
     def render(self, targets: int, disabled: int) -> str:
-        """One line a figure: counts (|c) since this process began, and what is now (|g)."""
+        """Returns a line for each metric: counters (`|c`) since the process began, and gauges (`|g`).
+
+        Args:
+            targets: How many session servers are listed.
+            disabled: How many of them the proxy avoids now.
+        """
         lines = [
-            f"proxy.{verdict.value}.{name}:{count}|c"
-            for verdict, counts in self._answers.items()
-            for name, count in counts.items()
+            f"proxy.{outcome.value}.{class_name}:{count}|c"
+            for outcome, counts in self._answers.items()
+            for class_name, count in counts.items()
         ]
         lines += [
             f"proxy.dispatches:{self.dispatches}|c",
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,9 +7,10 @@
 import pytest
 
 from stoatgw.backends.backend import Backend
-from stoatgw.controller.controller import Controller
+from stoatgw.controller.attempts import AttemptTracker
 from stoatgw.controller.messages import RequestState
 from stoatgw.controller.policy import DecisionPolicy, MakePolicy
+from stoatgw.controller.requests import RequestTable
 from stoatgw.decisions import interface as api
 from stoatgw.emulator.checker.checker import Checker
 from stoatgw.emulator.checker.rules import CheckerLimits, Rule
@@ -85,11 +86,12 @@
 
 
 def test_two_attempts_at_once_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def send_again(self: Controller, request: str, server: str, cut_at_us: int) -> None:
-        req = self._reqs[request]
+    def send_again(self: AttemptTracker, action: api.Send) -> None:
+        req = self._requests.get(action.request_id)
+        assert req is not None
         for attempt in (req.attempts, req.attempts + 1):
-            req.attempts, req.active_attempt, req.server, req.sent_us = attempt + 1, attempt, server, self._now_us
-            self._clock_door(req).start_attempt(attempt, server, req.deadline_us)  # type: ignore[attr-defined]
+            req.begin_attempt(action.server, self._decisions.now_us)
+            req.handler.start_attempt(attempt, action.server, req.deadline_us)
 
     begin = Session.start_attempt
 
@@ -99,8 +101,7 @@
         if machine is not None:  # the first goes on beside the second
             self._realm.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
 
-    monkeypatch.setattr(Controller, "_clock_door", lambda self, req: req.handler, raising=False)
-    monkeypatch.setattr(Controller, "_send", send_again)
+    monkeypatch.setattr(AttemptTracker, "start", send_again)
     monkeypatch.setattr(Session, "start_attempt", both)
     assert Rule.SINGLE_ATTEMPT in rules_broken("calm")
 
@@ -127,10 +128,10 @@
 
 
 def test_a_proxy_that_keeps_records_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def keep(self: Controller, req: RequestState) -> None:
+    def keep(self: RequestTable, req: RequestState) -> None:
         pass
 
-    monkeypatch.setattr(Controller, "_forget", keep)
+    monkeypatch.setattr(RequestTable, "forget", keep)
     assert Rule.NO_LEAKED_REQUEST in rules_broken("calm")
 
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -174,7 +174,7 @@
         await harness.deliver(SessionRestored(stands, "a"), BeginDrain(200_000, 0), RequestReceived(comes))
         (word, advice_us) = two.calls[0]
         assert word == "reject" and 0 < int(advice_us) <= 200_000 and not one.calls
-        assert harness.controller._elsewhere_us() == advice_us
+        assert harness.controller._requests._drain.retry_after_us(harness.controller._decisions.now_us) == advice_us
         while not one.calls:
             await asyncio.sleep(0.01)
             await harness.deliver()
@@ -196,7 +196,7 @@
         assert door.calls == []
         asked = [each[1] for each in harness.gateway.calls if each[0] == "check_health"]
         await harness.deliver(BeginDrain(0, 0) if drained else RequestTimedOut(req))
-        balancer = harness.controller._balancer
+        balancer = harness.controller._decisions.policy
         assert isinstance(balancer, Balancer)
         assert len(door.calls) == 1 and not balancer._connections and not balancer._own.under_way
         await harness.deliver(
@@ -227,7 +227,7 @@
             raise RuntimeError("broken")
 
         with monkeypatch.context() as patch:
-            patch.setattr(harness.controller._balancer, "handle", fault)
+            patch.setattr(harness.controller._decisions.policy, "handle", fault)
             await harness.deliver(RequestReceived(fresh))
         assert last.calls == ["fail"] and harness.gateway.calls[-1] == "fetch_endpoints"
         await harness.deliver(AttemptEnded(out, 0, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
@@ -292,6 +292,6 @@
         for _, door in reqs:
             finals = [word for word in door.calls if word == "fail" or word[0] == "reject"]
             assert len(finals) <= 1
-        harness.controller._cancel_moves()
+        await harness.deliver(CancelDrain())
 
     run_with_harness(play)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,8 @@
 from stoatgw.backends.attempt import Attempt
 from stoatgw.backends.backend import Backend
 from stoatgw.clients.descriptor_limiter import RESERVED_DESCRIPTORS, DescriptorLimiter
-from stoatgw.controller.controller import REPEAT_GUARD_US, Controller
+from stoatgw.controller.attempts import RETRY_GUARD_US
+from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import (
     AttemptEnd,
     AttemptEnded,
@@ -61,7 +62,7 @@
         assert await reader.read() == b"still here\r\nBYE\r\n"
         writer.close()
         await proxy.wait_until_idle()
-        assert not proxy.controller._balancer._own.under_way  # type: ignore[attr-defined]
+        assert not proxy.controller._decisions.policy._own.under_way  # type: ignore[attr-defined]
 
     run_loopback(serve_echo, test)
 
@@ -72,7 +73,7 @@
 
         async def crossed(self: Attempt, *args: Any) -> AttemptEnd | None:
             end = await real(self, *args)
-            next(iter(proxy.controller._reqs.values())).handler.fail()
+            next(iter(proxy.controller._requests._states.values())).handler.fail()
             return end
 
         monkeypatch.setattr(Attempt, "open", crossed)
@@ -167,7 +168,7 @@
 
 def test_a_repeat_of_a_dedup_request_has_to_begin_within_its_window() -> None:
     req = ask(of(Idempotency.DEDUP), AttemptStatus.DROPPED)[0]
-    assert req.retry_before_us == req.first_run_us + 500_000 - REPEAT_GUARD_US
+    assert req.retry_before_us == req.first_run_us + 500_000 - RETRY_GUARD_US
     assert ask(of(Idempotency.DEDUP), AttemptStatus.DIAL_FAILED)[0].retry_before_us == 0  # the first never ran
 
 
@@ -205,7 +206,7 @@
         raise OSError(errno.EMFILE, "none left")
 
     async def test(proxy: LoopbackProxy) -> None:
-        proxy.controller._balancer._settings = of(effect)  # type: ignore[attr-defined]
+        proxy.controller._decisions.policy._settings = of(effect)  # type: ignore[attr-defined]
         monkeypatch.setattr(tcp, "create_socket", full)
         assert (await rest(await proxy.open_session())).startswith(b"BUSY")
         assert proxy.controller.avoided_servers() == []
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -70,7 +70,7 @@
         for turn in range(6):
             await asyncio.gather(*(client(proxy, seen, gone) for _ in range(10)))
             if turn == 3:
-                proxy.controller._recover(RuntimeError("a fault of the module"))
+                proxy.controller._recovery.recover(RuntimeError("a fault of the module"))
             if turn == 4:
                 proxy.controller.post(BeginDrain(0, 0))
         await proxy.wait_until_idle()
