--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -3,19 +3,23 @@
 from __future__ import annotations
 
 import asyncio
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
 from typing import Any
 
 from stoatgw.clock import Clock
 from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import EndpointsUpdated, Message, RequestState
-from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Request
+from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Request, Settings
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from tests.fleet import settings
 
+PATIENCE_US = 2_000_000
+
 
 class RecordingGateway:
+    """Records what is asked of the backends."""
+
     def __init__(self) -> None:
         self.calls: list[Any] = []
 
@@ -30,15 +34,15 @@
 
 
 class RecordingHandler:
-    """A client's side that keeps what it is told."""
+    """Records what is asked of a client's side."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
 
-    def start_attempt(self, attempt: int, server: str, cut_at_us: int) -> None:
-        self.calls.append(("start_attempt", attempt, server))
+    def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
+        self.calls.append(("start_attempt", number, server))
 
-    def cancel_attempt(self, attempt: int) -> None:
+    def cancel_attempt(self, number: int) -> None:
         self.calls.append("cancel_attempt")
 
     def reject(self, retry_after_us: int) -> None:
@@ -52,13 +56,18 @@
 
 
 class ControllerHarness:
-    def __init__(self) -> None:
-        self.clock, self.counters, self.gateway = Clock(), Counters(), RecordingGateway()
-        self.controller = Controller(settings(), 7, self.clock, EventLog("test"), self.counters)
+    """A started controller whose task runs only while messages are delivered. Needs a running event loop."""
+
+    def __init__(self, config: Settings | None = None) -> None:
+        self.clock = Clock()
+        self.counters = Counters()
+        self.gateway = RecordingGateway()
+        self.controller = Controller(config or settings(), 7, self.clock, EventLog("test"), self.counters)
         self.controller.start(self.gateway)
-        self.request_count = 0
+        self._request_count = 0
 
     async def deliver(self, *messages: Message) -> None:
+        """Posts messages and has the controller handle them in one batch, with all that came due before."""
         for message in messages:
             self.controller.post(message)
         task = asyncio.get_running_loop().create_task(self.controller.run())
@@ -67,18 +76,24 @@
         task.cancel()
 
     async def list_servers(self, *names: str) -> None:
-        entries = tuple(Endpoint(name) for name in names)
-        await self.deliver(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, entries)))
+        """Delivers an endpoint list of servers that are active."""
+        endpoints = tuple(Endpoint(name) for name in names)
+        await self.deliver(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, endpoints)))
 
     def new_request(self) -> tuple[RequestState, RecordingHandler]:
-        self.request_count += 1
-        door = RecordingHandler()
-        asked = Request(f"{self.request_count:016x}", 0, 2_000_000)
-        return RequestState(asked, self.clock.now_us() + 2_000_000, door), door
+        """Makes a request with its handler; nothing is delivered."""
+        self._request_count += 1
+        handler = RecordingHandler()
+        request = Request(f"{self._request_count:016x}", 0, PATIENCE_US)
+        return RequestState(request, self.clock.now_us() + PATIENCE_US, handler), handler
+
 
+def run_with_harness(
+    test: Callable[[ControllerHarness], Coroutine[Any, Any, None]], config: Settings | None = None
+) -> None:
+    """Runs a test in an event loop of its own, with a harness."""
 
-def run_with_harness(play: Callable[[ControllerHarness], Any]) -> None:
     async def run() -> None:
-        await play(ControllerHarness())
+        await test(ControllerHarness(config))
 
     asyncio.run(run())
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,15 +1,15 @@
-"""The owner: what it does for the decisions, and that every req taken is answered."""
+"""The controller: what it does for the decision policy, and that every request it took is answered."""
 
 from __future__ import annotations
 
 import asyncio
+from typing import get_args
 
 import hypothesis
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from stoatgw.controller.controller import Controller
 from stoatgw.controller.graceful_shutdown import plan_shutdown
 from stoatgw.controller.lifecycle import LifecycleState, ProxyLifecycle
 from stoatgw.controller.messages import (
@@ -21,277 +21,332 @@
     CancelDrain,
     ClientDisconnected,
     HealthCheckCompleted,
+    Message,
     RequestReceived,
     RequestState,
     RequestTimedOut,
     SessionRestored,
 )
+from stoatgw.controller.policy import MigratingPolicy
 from stoatgw.decisions.balancer import Balancer
-from stoatgw.decisions.interface import (
-    AttemptStatus,
-    Event,
-    RequestClass,
-)
-from stoatgw.telemetry.log import EventLog
+from stoatgw.decisions.interface import Action, AttemptStatus, Event, RequestClass
 from tests.controller_harness import ControllerHarness, RecordingHandler, run_with_harness
 from tests.fleet import settings
 
+CONNECT_FAILED = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)
+SHED = AttemptEnd(AttemptStatus.SHED, AttemptStage.SENT)
+REVOKED_BEFORE_ESTABLISHED = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.SENT)
+REVOKED_WHEN_ESTABLISHED = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED)
 
-def end(status: AttemptStatus, stage: AttemptStage) -> AttemptEnd:
-    return AttemptEnd(status, stage)
 
+# Dispatch.
+
+
+def test_each_message_has_a_handler_and_each_action_a_performer() -> None:
+    async def test(harness: ControllerHarness) -> None:
+        assert set(harness.controller._handlers) == set(get_args(Message))
+        assert set(harness.controller._actions._performers) == set(get_args(Action))
+
+    run_with_harness(test)
 
-def test_a_refused_connect_is_tried_once_more_then_refused_with_advice() -> None:
-    async def play(harness: ControllerHarness) -> None:
-        await harness.list_servers("a", "b", "c")
-        req, door = harness.new_request()
-        await harness.deliver(RequestReceived(req))
-        await harness.deliver(AttemptEnded(req, 0, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
-        await harness.deliver(AttemptEnded(req, 1, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
-        (first, second, last) = door.calls
-        assert (first[:2], second[:2]) == (("start_attempt", 0), ("start_attempt", 1)) and first[2] != second[2]
-        assert last == ("reject", 1_000_000) and harness.controller.open_requests == 0
 
-    run_with_harness(play)
+def test_the_balancer_is_a_migrating_policy() -> None:
+    balancer: MigratingPolicy = Balancer(settings(), 7)  # statically
+    assert isinstance(balancer, MigratingPolicy)  # and as the controller asks for it
 
 
-def test_an_end_told_twice_counts_once() -> None:
-    async def play(harness: ControllerHarness) -> None:
+# Attempts and answers.
+
+
+def test_a_failed_connect_is_retried_once_elsewhere_then_rejected_with_advice() -> None:
+    async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a", "b", "c")
-        req, door = harness.new_request()
-        await harness.deliver(RequestReceived(req))
-        ended = AttemptEnded(req, 0, end(AttemptStatus.SHED, AttemptStage.SENT))
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state))
+        await harness.deliver(AttemptEnded(state, 0, CONNECT_FAILED))
+        await harness.deliver(AttemptEnded(state, 1, CONNECT_FAILED))
+        (first, second, last) = handler.calls
+        assert first[:2] == ("start_attempt", 0)
+        assert second[:2] == ("start_attempt", 1)
+        assert first[2] != second[2]
+        assert last == ("reject", 1_000_000)
+        assert harness.controller.open_requests == 0
+
+    run_with_harness(test)
+
+
+def test_an_attempt_that_ends_twice_counts_once() -> None:
+    async def test(harness: ControllerHarness) -> None:
+        await harness.list_servers("a", "b", "c")
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state))
+        ended = AttemptEnded(state, 0, SHED)
         await harness.deliver(ended, ended)
-        assert len(door.calls) == 2 and harness.counters["attempts_shed"] == 1
+        assert len(handler.calls) == 2
+        assert harness.counters["attempts_shed"] == 1
 
-    run_with_harness(play)
+    run_with_harness(test)
 
 
-@pytest.mark.parametrize("up", [False, True])
-def test_a_client_that_leaves_leaves_no_record(up: bool) -> None:
-    async def play(harness: ControllerHarness) -> None:
+@pytest.mark.parametrize("is_established", [False, True])
+def test_a_client_that_disconnects_leaves_no_state(is_established: bool) -> None:
+    async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a")
-        req, door = harness.new_request()
-        await harness.deliver(RequestReceived(req))
-        if up:
-            await harness.deliver(AttemptEstablished(req, 0))
-        await harness.deliver(
-            ClientDisconnected(req), AttemptEnded(req, 0, end(AttemptStatus.REVOKED, AttemptStage.SENT))
-        )
-        assert harness.controller.open_requests == 0 and len(door.calls) == 1
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state))
+        if is_established:
+            await harness.deliver(AttemptEstablished(state, 0))
+        await harness.deliver(ClientDisconnected(state), AttemptEnded(state, 0, REVOKED_BEFORE_ESTABLISHED))
+        assert harness.controller.open_requests == 0
+        assert len(handler.calls) == 1
 
-    run_with_harness(play)
+    run_with_harness(test)
 
 
-def test_no_server_at_all_is_answered_at_once() -> None:
-    async def play(harness: ControllerHarness) -> None:
-        req, door = harness.new_request()
-        await harness.deliver(RequestReceived(req))
-        assert door.calls == [("reject", 1_000_000)]
+def test_a_request_is_rejected_at_once_while_no_server_is_listed() -> None:
+    async def test(harness: ControllerHarness) -> None:
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state))
+        assert handler.calls == [("reject", 1_000_000)]
 
-    run_with_harness(play)
+    run_with_harness(test)
 
 
-def test_a_drain_answers_those_who_wait_moves_those_who_stand_and_refuses_newcomers() -> None:
-    async def play(harness: ControllerHarness) -> None:
-        await harness.list_servers("a", "b")
-        (waits, one), (stands, two), (comes, three) = (
-            harness.new_request(),
-            harness.new_request(),
-            harness.new_request(),
-        )
+@pytest.mark.parametrize("by_drain", [True, False])
+def test_a_request_answered_while_it_waits_for_health_checks_leaves_no_state(by_drain: bool) -> None:
+    """The policy may hold a request without an attempt; the controller answers it without asking the policy."""
+
+    async def test(harness: ControllerHarness) -> None:
+        await harness.list_servers(*"abcdefghijkl")
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state))
+        assert handler.calls == []
+        checked = [call[1] for call in harness.gateway.calls if call[0] == "check_health"]
+        await harness.deliver(BeginDrain(0, 0) if by_drain else RequestTimedOut(state))
+        balancer = harness.controller._decisions.policy
+        assert isinstance(balancer, Balancer)
+        assert len(handler.calls) == 1
+        assert not balancer._connections
+        assert not balancer._own.under_way
         await harness.deliver(
-            RequestReceived(waits), SessionRestored(stands, "a"), BeginDrain(0, 0), RequestReceived(comes)
+            *(HealthCheckCompleted(server, AttemptStatus.DELIVERED, 1_000, (0.1, 5.0)) for server in checked)
         )
-        await asyncio.sleep(0.01)
-        await harness.deliver()
-        assert one.calls[1:] == [("reject", 0)] and two.calls == ["migrate"] and three.calls == [("reject", 0)]
-        await harness.deliver(AttemptEstablished(waits, 0))
-        assert one.calls[-1] == "migrate"  # an UP that crossed the refusal
+        assert len(handler.calls) == 1
+        assert harness.controller.open_requests == 0
 
-    run_with_harness(play)
+    run_with_harness(test, settings(balancers=40))
 
 
-@pytest.mark.parametrize("deadline_us", [500_000, 2_000_000, 3_200_000])
-@pytest.mark.parametrize("handed_over", [True, False])
-def test_a_stop_uses_its_time_and_is_over_before_the_kill(deadline_us: int, handed_over: bool) -> None:
-    """The kill comes 0.7 s after the longest deadline, which counts as 3 s at most."""
-    plan = plan_shutdown(settings(profiles=(RequestClass(500_000, deadline_us),)), handed_over=handed_over)
-    kill_us, last_us = (
-        min(3_000_000, deadline_us) + 700_000,
-        plan.drain.accept_window_us + plan.drain.migration_window_us,
-    )
-    assert last_us + 400_000 < kill_us and last_us <= plan.max_duration_us < kill_us
-    if not handed_over:
-        # Moved within a second, all clients of a proxy came to its peers between two reports.
-        assert plan.drain.accept_window_us >= 400_000 and last_us >= kill_us - 800_000
-
-
-@pytest.mark.parametrize("deadline_us", [50_000, 100_000, 300_000])
-def test_a_stop_with_short_deadlines_is_over_before_the_kill(deadline_us: int) -> None:
-    """Guards against a process that served until 1 s after SIGTERM and was killed at 0.8 s."""
-    plan = plan_shutdown(settings(profiles=(RequestClass(20_000, deadline_us),)), handed_over=False)
-    assert plan.min_duration_us <= plan.max_duration_us < deadline_us + 700_000
-    assert (
-        plan.drain.accept_window_us + plan.drain.migration_window_us
-        < plan.max_duration_us
-        > plan.drain.admission_window_us
-        > plan.drain.accept_window_us
-    )
-
+def test_a_request_is_answered_at_its_deadline_whatever_the_policy_does() -> None:
+    async def test(harness: ControllerHarness) -> None:
+        await harness.list_servers("a")
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state), RequestTimedOut(state), RequestTimedOut(state))
+        assert handler.calls[1:] == ["fail"]
 
-def test_those_who_stand_are_moved_ever_faster_and_who_comes_at_first_is_served() -> None:
-    """Who is moved late is served the longer; who still comes is not refused three times and lost."""
+    run_with_harness(test)
 
-    async def play(harness: ControllerHarness) -> None:
-        await harness.list_servers("a", "b")
-        standing = [harness.new_request() for _ in range(100)]
-        await harness.deliver(*(SessionRestored(req, "a") for req, _ in standing))
-        end = plan_shutdown(settings(), handed_over=False).drain
-        waits = []
-        loop = asyncio.get_running_loop()
-        later = loop.call_later
-        loop.call_later = lambda delay, *rest: waits.append(delay) or later(delay, *rest)  # type: ignore
-        (comes, door) = harness.new_request()
-        try:
-            await harness.deliver(end, RequestReceived(comes))
-        finally:
-            loop.call_later = later  # type: ignore[method-assign]
-        moves = waits[1:101]
-        first, last = end.accept_window_us / 1e6, (end.accept_window_us + end.migration_window_us) / 1e6
-        assert moves == sorted(moves) and moves[0] == first and moves[-1] < last
-        assert sum(move < (first + last) / 2 for move in moves) <= 25
-        assert [each[0] for each in door.calls] == ["start_attempt"]
 
-    run_with_harness(play)
+def test_a_fault_of_the_policy_leaves_no_request_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
+    def handle(event: Event, now_us: int) -> None:
+        raise RuntimeError("broken")
 
-
-def test_nobody_is_moved_while_newcomers_still_come_here() -> None:
-    # Guards against clients moved at once, who came back to the proxy that leaves and were refused.
-    async def play(harness: ControllerHarness) -> None:
+    async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a")
-        (stands, one), (comes, two) = harness.new_request(), harness.new_request()
-        await harness.deliver(SessionRestored(stands, "a"), BeginDrain(200_000, 0), RequestReceived(comes))
-        (word, advice_us) = two.calls[0]
-        assert word == "reject" and 0 < int(advice_us) <= 200_000 and not one.calls
-        assert harness.controller._requests._drain.retry_after_us(harness.controller._decisions.now_us) == advice_us
-        while not one.calls:
-            await asyncio.sleep(0.01)
-            await harness.deliver()
-        assert one.calls == ["migrate"]
+        in_flight, in_flight_handler = harness.new_request()
+        established, _ = harness.new_request()
+        new, new_handler = harness.new_request()
+        await harness.deliver(RequestReceived(in_flight), SessionRestored(established, "a"))
+        with monkeypatch.context() as patch:
+            patch.setattr(harness.controller._decisions.policy, "handle", handle)
+            await harness.deliver(RequestReceived(new))
+        assert new_handler.calls == ["fail"]
+        assert harness.gateway.calls[-1] == "fetch_endpoints"
+        await harness.deliver(AttemptEnded(in_flight, 0, CONNECT_FAILED))
+        assert in_flight_handler.calls[-1] == "fail"
+        assert harness.controller.open_requests == 1
 
-    run_with_harness(play)
+    run_with_harness(test)
 
 
-@pytest.mark.parametrize("drained", [True, False])
-def test_a_req_answered_while_it_waits_for_probes_leaves_no_record(drained: bool) -> None:
-    """The module may hold a req without an attempt out; the owner answers it without asking."""
+# Drain.
 
-    async def play(harness: ControllerHarness) -> None:
-        harness.controller = Controller(settings(balancers=40), 7, harness.clock, EventLog("test"), harness.counters)
-        harness.controller.start(harness.gateway)
-        await harness.list_servers(*"abcdefghijkl")
-        req, door = harness.new_request()
-        await harness.deliver(RequestReceived(req))
-        assert door.calls == []
-        asked = [each[1] for each in harness.gateway.calls if each[0] == "check_health"]
-        await harness.deliver(BeginDrain(0, 0) if drained else RequestTimedOut(req))
-        balancer = harness.controller._decisions.policy
-        assert isinstance(balancer, Balancer)
-        assert len(door.calls) == 1 and not balancer._connections and not balancer._own.under_way
+
+def test_a_drain_answers_waiting_requests_migrates_sessions_and_rejects_new_requests() -> None:
+    async def test(harness: ControllerHarness) -> None:
+        await harness.list_servers("a", "b")
+        waiting, waiting_handler = harness.new_request()
+        established, established_handler = harness.new_request()
+        new, new_handler = harness.new_request()
         await harness.deliver(
-            *(HealthCheckCompleted(server, AttemptStatus.DELIVERED, 1_000, (0.1, 5.0)) for server in asked)
+            RequestReceived(waiting), SessionRestored(established, "a"), BeginDrain(0, 0), RequestReceived(new)
         )
-        assert len(door.calls) == 1 and harness.controller.open_requests == 0
+        await asyncio.sleep(0.01)
+        await harness.deliver()
+        assert waiting_handler.calls[1:] == [("reject", 0)]
+        assert established_handler.calls == ["migrate"]
+        assert new_handler.calls == [("reject", 0)]
+        await harness.deliver(AttemptEstablished(waiting, 0))
+        assert waiting_handler.calls[-1] == "migrate"  # it was established as it was rejected
 
-    run_with_harness(play)
+    run_with_harness(test)
 
 
-def test_the_answer_is_given_when_the_time_is_up_whatever_the_decisions_do() -> None:
-    async def play(harness: ControllerHarness) -> None:
-        await harness.list_servers("a")
-        req, door = harness.new_request()
-        await harness.deliver(RequestReceived(req), RequestTimedOut(req), RequestTimedOut(req))
-        assert door.calls[1:] == ["fail"]
+def test_sessions_migrate_at_a_rising_rate_and_early_requests_are_served() -> None:
+    """Who migrates late is served the longer; who still comes is not rejected three times and lost."""
+
+    async def test(harness: ControllerHarness) -> None:
+        await harness.list_servers("a", "b")
+        established = [harness.new_request() for _ in range(100)]
+        await harness.deliver(*(SessionRestored(state, "a") for state, _ in established))
+        drain = plan_shutdown(settings(), handed_over=False).drain
+        delays_s = []
+        loop = asyncio.get_running_loop()
+        call_later = loop.call_later
+        loop.call_later = lambda delay, *rest: delays_s.append(delay) or call_later(delay, *rest)  # type: ignore
+        new, new_handler = harness.new_request()
+        try:
+            await harness.deliver(drain, RequestReceived(new))
+        finally:
+            loop.call_later = call_later  # type: ignore[method-assign]
+        migrations_s = delays_s[1:101]
+        first_s = drain.accept_window_us / 1e6
+        last_s = (drain.accept_window_us + drain.migration_window_us) / 1e6
+        assert migrations_s == sorted(migrations_s)
+        assert migrations_s[0] == first_s
+        assert migrations_s[-1] < last_s
+        assert len([delay_s for delay_s in migrations_s if delay_s < (first_s + last_s) / 2]) <= 25
+        assert [call[0] for call in new_handler.calls] == ["start_attempt"]
 
-    run_with_harness(play)
+    run_with_harness(test)
 
 
-def test_a_fault_of_the_decisions_leaves_no_req_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def play(harness: ControllerHarness) -> None:
+def test_no_session_migrates_while_new_clients_are_routed_here() -> None:
+    """Guards against clients that migrated at once, came back to the proxy that drains and were rejected."""
+
+    async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a")
-        (out, first), (standing, _), (fresh, last) = harness.new_request(), harness.new_request(), harness.new_request()
-        await harness.deliver(RequestReceived(out), SessionRestored(standing, "a"))
+        established, established_handler = harness.new_request()
+        new, new_handler = harness.new_request()
+        await harness.deliver(SessionRestored(established, "a"), BeginDrain(200_000, 0), RequestReceived(new))
+        (answer, retry_after_us) = new_handler.calls[0]
+        assert answer == "reject"
+        assert 0 < int(retry_after_us) <= 200_000
+        assert not established_handler.calls
+        controller = harness.controller
+        assert controller._requests._drain.retry_after_us(controller._decisions.now_us) == retry_after_us
+        while not established_handler.calls:
+            await asyncio.sleep(0.01)
+            await harness.deliver()
+        assert established_handler.calls == ["migrate"]
 
-        def fault(event: Event, now_us: int) -> None:
-            raise RuntimeError("broken")
+    run_with_harness(test)
 
-        with monkeypatch.context() as patch:
-            patch.setattr(harness.controller._decisions.policy, "handle", fault)
-            await harness.deliver(RequestReceived(fresh))
-        assert last.calls == ["fail"] and harness.gateway.calls[-1] == "fetch_endpoints"
-        await harness.deliver(AttemptEnded(out, 0, end(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)))
-        assert first.calls[-1] == "fail" and harness.controller.open_requests == 1
 
-    run_with_harness(play)
+@pytest.mark.parametrize("deadline_us", [500_000, 2_000_000, 3_200_000])
+@pytest.mark.parametrize("handed_over", [True, False])
+def test_a_shutdown_uses_its_time_and_ends_before_the_kill(deadline_us: int, handed_over: bool) -> None:
+    """The kill comes 0.7 s after the longest deadline, which counts as 3 s at most."""
+    plan = plan_shutdown(settings(profiles=(RequestClass(500_000, deadline_us),)), handed_over=handed_over)
+    kill_us = min(3_000_000, deadline_us) + 700_000
+    last_migration_us = plan.drain.accept_window_us + plan.drain.migration_window_us
+    assert last_migration_us + 400_000 < kill_us
+    assert last_migration_us <= plan.max_duration_us < kill_us
+    if not handed_over:
+        # Migrated within a second, all clients of a proxy came to its peers between two load reports.
+        assert plan.drain.accept_window_us >= 400_000
+        assert last_migration_us >= kill_us - 800_000
 
 
-ACTS = st.lists(st.sampled_from(["ask", "up", "end", "drain", "activate", "stop", "later"]), max_size=25)
+@pytest.mark.parametrize("deadline_us", [50_000, 100_000, 300_000])
+def test_a_shutdown_with_short_deadlines_ends_before_the_kill(deadline_us: int) -> None:
+    """Guards against a process that served until 1 s after SIGTERM and was killed at 0.8 s."""
+    plan = plan_shutdown(settings(profiles=(RequestClass(20_000, deadline_us),)), handed_over=False)
+    assert plan.min_duration_us <= plan.max_duration_us < deadline_us + 700_000
+    assert plan.drain.accept_window_us + plan.drain.migration_window_us < plan.max_duration_us
+    assert plan.drain.accept_window_us < plan.drain.admission_window_us < plan.max_duration_us
+
+
+class DrainModel:
+    """A plain model of drains beside the controller: each step does one thing and checks what follows from it.
+
+    A client that comes while the proxy serves is placed and stays; a session that is established in a drain migrates.
+    """
+
+    def __init__(self, harness: ControllerHarness) -> None:
+        self._harness = harness
+        self._lifecycle = ProxyLifecycle()
+        self._state = LifecycleState.SERVING
+        self._requests: list[tuple[RequestState, RecordingHandler]] = []
+
+    async def request(self) -> None:
+        state, handler = self._harness.new_request()
+        self._requests.append((state, handler))
+        await self._harness.deliver(RequestReceived(state))
+        is_placed = handler.calls[0][0] == "start_attempt"
+        assert is_placed == (self._state is not LifecycleState.STOPPING)
+
+    async def establish(self) -> None:
+        for state, handler in self._requests:
+            if state.active_attempt is not None and not state.is_established:
+                await self._harness.deliver(AttemptEstablished(state, state.active_attempt))
+                assert self._state is not LifecycleState.SERVING or "migrate" not in handler.calls
+
+    async def end(self) -> None:
+        for state, _ in self._requests:
+            if state.active_attempt is not None:
+                await self._harness.deliver(AttemptEnded(state, state.active_attempt, REVOKED_WHEN_ESTABLISHED))
+
+    async def begin_drain(self) -> None:
+        assert self._lifecycle.begin_drain() == (self._state is LifecycleState.SERVING)
+        if self._state is LifecycleState.SERVING:
+            self._state = LifecycleState.DRAINING
+            await self._harness.deliver(BeginDrain(0, 0, 60_000_000))
+
+    async def cancel_drain(self) -> None:
+        assert self._lifecycle.resume_serving() == (self._state is not LifecycleState.STOPPING)
+        if self._state is LifecycleState.DRAINING:
+            self._state = LifecycleState.SERVING
+            await self._harness.deliver(CancelDrain())
+
+    async def stop(self) -> None:
+        self._lifecycle.begin_shutdown(handed_over=False)
+        self._state = LifecycleState.STOPPING
+        await self._harness.deliver(BeginDrain(0, 0))
+
+    async def wait(self) -> None:
+        await asyncio.sleep(0.002)
+        await self._harness.deliver()
+
+    async def play(self, step: str) -> None:
+        await getattr(self, step)()
+        assert self._lifecycle.state is self._state
+        assert self._lifecycle.accepts_clients == (self._state is LifecycleState.SERVING)
+
+    async def finish(self) -> None:
+        if self._state is not LifecycleState.SERVING:
+            await self.wait()
+            for state, handler in self._requests:
+                if state.is_established and state.active_attempt is not None:
+                    assert "migrate" in handler.calls
+        for _, handler in self._requests:
+            answers = [call for call in handler.calls if call == "fail" or call[0] == "reject"]
+            assert len(answers) <= 1
+
+
+STEPS = st.lists(
+    st.sampled_from(["request", "establish", "end", "begin_drain", "cancel_drain", "stop", "wait"]), max_size=25
+)
 
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=120)
-@given(ACTS)
-def test_however_a_drain_is_called_and_called_back_each_client_gets_one_answer(acts: list[str]) -> None:
-    """Beside a plain model: who comes while the proxy serves is placed and stays, who stands in a drain is moved."""
-
-    async def play(harness: ControllerHarness) -> None:
-        course, stage = ProxyLifecycle(), LifecycleState.SERVING
+@given(STEPS)
+def test_however_drains_begin_and_are_cancelled_each_client_gets_one_answer(steps: list[str]) -> None:
+    async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a", "b", "c")
-        reqs: list[tuple[RequestState, RecordingHandler]] = []
-        for act in acts:
-            if act == "ask":
-                reqs.append(harness.new_request())
-                await harness.deliver(RequestReceived(reqs[-1][0]))
-                placed = reqs[-1][1].calls[0][0] == "start_attempt"
-                assert placed == (stage is not LifecycleState.STOPPING)
-            elif act == "up":
-                for req, door in reqs:
-                    if req.active_attempt is not None and not req.is_established:
-                        await harness.deliver(AttemptEstablished(req, req.active_attempt))
-                        assert stage is not LifecycleState.SERVING or "migrate" not in door.calls
-            elif act == "end":
-                for req, _ in reqs:
-                    if req.active_attempt is not None:
-                        await harness.deliver(
-                            AttemptEnded(req, req.active_attempt, end(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED))
-                        )
-            elif act == "drain":
-                assert course.begin_drain() == (stage is LifecycleState.SERVING)
-                if stage is LifecycleState.SERVING:
-                    stage = LifecycleState.DRAINING
-                    await harness.deliver(BeginDrain(0, 0, 60_000_000))
-            elif act == "activate":
-                assert course.resume_serving() == (stage is not LifecycleState.STOPPING)
-                if stage is LifecycleState.DRAINING:
-                    stage = LifecycleState.SERVING
-                    await harness.deliver(CancelDrain())
-            elif act == "stop":
-                course.begin_shutdown(handed_over=False)
-                stage = LifecycleState.STOPPING
-                await harness.deliver(BeginDrain(0, 0))
-            else:
-                await asyncio.sleep(0.002)
-                await harness.deliver()
-            assert course.state is stage and course.accepts_clients == (stage is LifecycleState.SERVING)
-        if stage is not LifecycleState.SERVING:
-            await asyncio.sleep(0.002)
-            await harness.deliver()
-            assert all(
-                "migrate" in door.calls for req, door in reqs if req.is_established and req.active_attempt is not None
-            )
-        for _, door in reqs:
-            finals = [word for word in door.calls if word == "fail" or word[0] == "reject"]
-            assert len(finals) <= 1
-        await harness.deliver(CancelDrain())
-
-    run_with_harness(play)
+        model = DrainModel(harness)
+        for step in steps:
+            await model.play(step)
+        await model.finish()
+
+    run_with_harness(test)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,11 +1,11 @@
-"""Two events that cross, each pair forced into the order that goes wrong. docs/crossings.md lists them all."""
+"""Races of two events, each forced into the order that goes wrong. docs/crossings.md lists them all."""
 
 from __future__ import annotations
 
 import asyncio
 import errno
 import socket
-from types import SimpleNamespace
+from enum import Enum, auto
 from typing import Any
 
 import pytest
@@ -14,8 +14,8 @@
 from stoatgw.backends.attempt import Attempt
 from stoatgw.backends.backend import Backend
 from stoatgw.clients.descriptor_limiter import RESERVED_DESCRIPTORS, DescriptorLimiter
+from stoatgw.clock import Clock
 from stoatgw.controller.attempts import RETRY_GUARD_US
-from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import (
     AttemptEnd,
     AttemptEnded,
@@ -24,11 +24,11 @@
     BeginDrain,
     Message,
     RequestReceived,
+    RequestState,
     RequestTimedOut,
 )
-from stoatgw.decisions.interface import AttemptStatus, Idempotency, KeyScope, RequestClass
+from stoatgw.decisions.interface import AttemptStatus, Idempotency, KeyScope, RequestClass, Settings
 from stoatgw.sockets import tcp
-from stoatgw.telemetry.log import EventLog
 from tests.controller_harness import ControllerHarness, run_with_harness
 from tests.fleet import settings
 from tests.test_sessions import OPEN, LoopbackProxy, Streams, run_loopback, serve_echo
@@ -36,26 +36,26 @@
 LINE = b"OPEN 0000000000000001 1 c=chat,d=2000\r\n"
 
 
-async def rest(streams: Streams) -> bytes:
-    """All that comes until the proxy ends; a reset is an error."""
+async def read_to_end(streams: Streams) -> bytes:
+    """Reads all that comes until the proxy ends the connection; a reset is an error."""
     reader, writer = streams
     data = await reader.read()
     writer.close()
     return data
 
 
-def test_up_and_the_end_of_the_clients_time_in_one_turn_of_the_owner() -> None:
-    """UP is on its way when the owner finds the time to be up: no ERR behind it, the connection stands."""
+def test_a_deadline_in_the_batch_of_up_does_not_answer_behind_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """UP is on its way when the controller finds the deadline passed: no ERR follows, the session stays."""
 
     async def test(proxy: LoopbackProxy) -> None:
-        put = proxy.controller.post
+        post = proxy.controller.post
 
-        def crossed(message: Message) -> None:
+        def post_after_deadline(message: Message) -> None:
             if isinstance(message, AttemptEstablished):
-                put(RequestTimedOut(message.state))
-            put(message)
+                post(RequestTimedOut(message.state))
+            post(message)
 
-        setattr(proxy.controller, "post", crossed)  # noqa: B010
+        monkeypatch.setattr(proxy.controller, "post", post_after_deadline)
         reader, writer = await proxy.open_session()
         assert await reader.readline() == b"UP 77\r\n"
         writer.write(b"still here\r\nEND\r\n")
@@ -67,61 +67,68 @@
     run_loopback(serve_echo, test)
 
 
-def test_an_answer_given_as_up_comes_is_the_only_one(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_given_as_up_arrives_is_the_only_one(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(proxy: LoopbackProxy) -> None:
-        real = Attempt.open
+        open_attempt = Attempt.open
 
-        async def crossed(self: Attempt, *args: Any) -> AttemptEnd | None:
-            end = await real(self, *args)
+        async def fail_once_established(self: Attempt, *args: Any) -> AttemptEnd | None:
+            end = await open_attempt(self, *args)
             next(iter(proxy.controller._requests._states.values())).handler.fail()
             return end
 
-        monkeypatch.setattr(Attempt, "open", crossed)
-        assert await rest(await proxy.open_session()) == b"ERR failed\r\n"
+        monkeypatch.setattr(Attempt, "open", fail_once_established)
+        assert await read_to_end(await proxy.open_session()) == b"ERR failed\r\n"
         await proxy.wait_until_idle()
 
     run_loopback(serve_echo, test)
 
 
-class Piecewise(socket.socket):
-    """Takes five bytes at a time; `full` is called in the moment in which it has taken the last."""
+class PartialSendSocket(socket.socket):
+    """Takes four bytes at a time, and none in between; calls `on_full` at the moment it has taken the last."""
 
-    full: Any = None
+    on_full: Any = None
     left = len(LINE)
 
     def send(self, data: Any, flags: int = 0) -> int:
-        if self.left % 2:  # as often as not it takes nothing
+        if self.left % 2:
             self.left -= 1
             raise BlockingIOError
         count = super().send(bytes(data)[:4])
         self.left -= count
         if count == len(data):
-            self.full()
+            self.on_full()
         return count
 
 
-@pytest.mark.parametrize("why", ["cancel", "time"])
-def test_a_line_taken_to_its_last_byte_as_its_time_ends_may_have_run(why: str, monkeypatch: pytest.MonkeyPatch) -> None:
+class StoppedClock(Clock):
+    def now_us(self) -> int:
+        return 0
+
+
+@pytest.mark.parametrize("is_cancelled", [True, False])
+def test_a_line_taken_to_its_last_byte_as_its_attempt_is_cut_may_have_run(
+    is_cancelled: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def test() -> None:
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        clock, sock = SimpleNamespace(now_us=lambda: 0), Piecewise()
+        sock = PartialSendSocket()
         sock.setblocking(False)
         monkeypatch.setattr(tcp, "create_socket", lambda: sock)
-        fetch = Attempt(Backend("s", "127.0.0.1", port), clock, 10**6, 0, lambda row: (), lambda: None)  # type: ignore[arg-type]
-        task = asyncio.create_task(fetch.open(lambda _: LINE, 200_000))
-        sock.full = task.cancel if why == "cancel" else lambda: None
+        attempt = Attempt(Backend("s", "127.0.0.1", port), StoppedClock(), 10**6, 0, lambda row: (), lambda: None)
+        task = asyncio.create_task(attempt.open(lambda _: LINE, 200_000))
+        sock.on_full = task.cancel if is_cancelled else lambda: None
         await asyncio.wait([task])
-        if why == "time":
+        if not is_cancelled:
             assert task.result() == AttemptEnd(AttemptStatus.EXPIRED, AttemptStage.SENT, "timed out")
-        assert fetch.stage is AttemptStage.SENT
-        fetch.close()
+        assert attempt.stage is AttemptStage.SENT
+        attempt.close()
         server.close()
 
     uvloop.run(test())
 
 
-def test_a_repeat_whose_connection_came_up_after_its_window_is_not_sent() -> None:
+def test_a_retry_whose_connection_is_made_after_its_window_is_not_sent() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
@@ -129,10 +136,11 @@
         backend = proxy.backends.get("s")
         assert backend is not None
         now_us = proxy.clock.now_us()
-        fetch = Attempt(backend, proxy.clock, 10**6, 0, lambda row: (), lambda: None)
-        end = await fetch.open(lambda _: LINE, now_us + 10**6, now_us)
-        assert end is not None and (end.status, end.stage) == (AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)
-        fetch.close()
+        attempt = Attempt(backend, proxy.clock, 10**6, 0, lambda row: (), lambda: None)
+        end = await attempt.open(lambda _: LINE, now_us + 10**6, now_us)
+        assert end is not None
+        assert (end.status, end.stage) == (AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)
+        attempt.close()
         while not proxy.forwarded_requests:
             await asyncio.sleep(0.01)
         assert proxy.forwarded_requests == [b""]
@@ -140,90 +148,113 @@
     run_loopback(serve, test)
 
 
-def of(effect: Idempotency, scope: KeyScope = KeyScope.ALL, **changes: Any) -> Any:
-    profile = RequestClass(300_000, 2_000_000, 1.0, effect, scope, 500_000)
-    return settings(profiles=(profile, profile), **changes)
+def settings_with(idempotency: Idempotency, key_scope: KeyScope = KeyScope.ALL, **changes: Any) -> Settings:
+    """Settings whose classes all have this idempotency, and keys that live for 0.5 s."""
+    request_class = RequestClass(300_000, 2_000_000, 1.0, idempotency, key_scope, 500_000)
+    return settings(profiles=(request_class, request_class), **changes)
+
+
+class FinalEvent(Enum):
+    """What ends the wait for an answer while an attempt is in flight, or none was begun."""
+
+    NONE = auto()
+    DEADLINE = auto()
+    DRAIN = auto()
 
 
-def ask(config: Any, *statuses: AttemptStatus, last: Message | None = None) -> list[Any]:
-    """What a client is told whose attempts end so, one after the other; `last`: told to the owner while one is out."""
-    told: list[Any] = []
+def run_request(
+    config: Settings, *statuses: AttemptStatus, final_event: FinalEvent = FinalEvent.NONE
+) -> tuple[RequestState, list[Any]]:
+    """Returns a request whose attempts end so, one after the other, and what its handler was asked to do."""
+    results: list[tuple[RequestState, list[Any]]] = []
 
-    async def play(harness: ControllerHarness) -> None:
-        harness.controller = Controller(config, 7, harness.clock, EventLog("test"), harness.counters)
-        harness.controller.start(harness.gateway)
+    async def test(harness: ControllerHarness) -> None:
         await harness.list_servers(*"abcdefghijkl")
-        req, handler = harness.new_request()
-        await harness.deliver(RequestReceived(req))
-        for attempt, status in enumerate(statuses):
-            await harness.deliver(AttemptEnded(req, attempt, AttemptEnd(status, AttemptStage.SENT)))
-        told.append(req)
-        if last is not None:
-            await harness.deliver(RequestTimedOut(req) if isinstance(last, RequestTimedOut) else last)
-        told.extend(handler.calls)
+        state, handler = harness.new_request()
+        await harness.deliver(RequestReceived(state))
+        for number, status in enumerate(statuses):
+            await harness.deliver(AttemptEnded(state, number, AttemptEnd(status, AttemptStage.SENT)))
+        if final_event is FinalEvent.DEADLINE:
+            await harness.deliver(RequestTimedOut(state))
+        elif final_event is FinalEvent.DRAIN:
+            await harness.deliver(BeginDrain(400_000, 100_000))
+        results.append((state, handler.calls))
 
-    run_with_harness(play)
-    return told
+    run_with_harness(test, config)
+    return results[0]
 
 
-def test_a_repeat_of_a_dedup_request_has_to_begin_within_its_window() -> None:
-    req = ask(of(Idempotency.DEDUP), AttemptStatus.DROPPED)[0]
-    assert req.retry_before_us == req.first_run_us + 500_000 - RETRY_GUARD_US
-    assert ask(of(Idempotency.DEDUP), AttemptStatus.DIAL_FAILED)[0].retry_before_us == 0  # the first never ran
+def test_a_retry_of_a_dedup_request_has_to_begin_within_its_window() -> None:
+    state, _ = run_request(settings_with(Idempotency.DEDUP), AttemptStatus.DROPPED)
+    assert state.first_run_us is not None
+    assert state.retry_before_us == state.first_run_us + 500_000 - RETRY_GUARD_US
 
 
-FAILED, REFUSED = "fail", "reject"
-LAST: dict[str, Message] = {"overdue": RequestTimedOut(None), "stop": BeginDrain(400_000, 100_000)}  # type: ignore[arg-type]
+def test_a_dedup_request_whose_first_attempt_never_ran_has_no_window() -> None:
+    state, _ = run_request(settings_with(Idempotency.DEDUP), AttemptStatus.DIAL_FAILED)
+    assert state.retry_before_us == 0
 
 
 @pytest.mark.parametrize(
-    ("config", "statuses", "last", "answer"),
+    ("config", "statuses", "final_event", "answer"),
     [
-        (of(Idempotency.FRAGILE), [AttemptStatus.DROPPED], "", FAILED),
-        (of(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED, AttemptStatus.SHED], "", REFUSED),
-        (of(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED], "overdue", FAILED),  # one is out
-        (of(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED], "stop", FAILED),
-        (of(Idempotency.FRAGILE, balancers=40), [], "stop", REFUSED),  # it waits for probes: never sent on
-        (of(Idempotency.FRAGILE, balancers=40), [], "overdue", REFUSED),
-        (of(Idempotency.DEDUP, KeyScope.ZONE), [AttemptStatus.DROPPED, AttemptStatus.DROPPED], "", FAILED),
-        (of(Idempotency.DEDUP, KeyScope.CELL), [AttemptStatus.EXPIRED], "stop", FAILED),
-        (of(Idempotency.DEDUP), [AttemptStatus.EXPIRED], "stop", REFUSED),
-        (of(Idempotency.RETRYABLE), [AttemptStatus.EXPIRED], "stop", REFUSED),
+        (settings_with(Idempotency.FRAGILE), [AttemptStatus.DROPPED], FinalEvent.NONE, "fail"),
+        (
+            settings_with(Idempotency.FRAGILE),
+            [AttemptStatus.DIAL_FAILED, AttemptStatus.SHED],
+            FinalEvent.NONE,
+            "reject",
+        ),
+        # One is in flight.
+        (settings_with(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED], FinalEvent.DEADLINE, "fail"),
+        (settings_with(Idempotency.FRAGILE), [AttemptStatus.DIAL_FAILED], FinalEvent.DRAIN, "fail"),
+        # It waits for health checks: never forwarded.
+        (settings_with(Idempotency.FRAGILE, balancers=40), [], FinalEvent.DRAIN, "reject"),
+        (settings_with(Idempotency.FRAGILE, balancers=40), [], FinalEvent.DEADLINE, "reject"),
+        (
+            settings_with(Idempotency.DEDUP, KeyScope.ZONE),
+            [AttemptStatus.DROPPED, AttemptStatus.DROPPED],
+            FinalEvent.NONE,
+            "fail",
+        ),
+        (settings_with(Idempotency.DEDUP, KeyScope.CELL), [AttemptStatus.EXPIRED], FinalEvent.DRAIN, "fail"),
+        (settings_with(Idempotency.DEDUP), [AttemptStatus.EXPIRED], FinalEvent.DRAIN, "reject"),
+        (settings_with(Idempotency.RETRYABLE), [AttemptStatus.EXPIRED], FinalEvent.DRAIN, "reject"),
     ],
 )
-def test_a_refusal_only_where_nothing_can_have_run_or_a_repeat_is_harmless(
-    config: Any, statuses: list[AttemptStatus], last: str, answer: str
+def test_a_request_is_rejected_only_where_it_cannot_have_run_or_a_repeat_is_harmless(
+    config: Settings, statuses: list[AttemptStatus], final_event: FinalEvent, answer: str
 ) -> None:
-    *_, told = ask(config, *statuses, last=LAST.get(last))
-    assert (told if told == FAILED else told[0]) == answer
+    _, calls = run_request(config, *statuses, final_event=final_event)
+    assert (calls[-1] if calls[-1] == "fail" else calls[-1][0]) == answer
 
 
-@pytest.mark.parametrize("effect", list(Idempotency))
-def test_a_proxy_out_of_descriptors_refuses_and_blames_no_server(
-    effect: Idempotency, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("idempotency", list(Idempotency))
+def test_a_proxy_out_of_descriptors_rejects_and_avoids_no_server(
+    idempotency: Idempotency, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def full() -> socket.socket:
+    def create_socket() -> socket.socket:
         raise OSError(errno.EMFILE, "none left")
 
     async def test(proxy: LoopbackProxy) -> None:
-        proxy.controller._decisions.policy._settings = of(effect)  # type: ignore[attr-defined]
-        monkeypatch.setattr(tcp, "create_socket", full)
-        assert (await rest(await proxy.open_session())).startswith(b"BUSY")
+        proxy.controller._decisions.policy._settings = settings_with(idempotency)  # type: ignore[attr-defined]
+        monkeypatch.setattr(tcp, "create_socket", create_socket)
+        assert (await read_to_end(await proxy.open_session())).startswith(b"BUSY")
         assert proxy.controller.avoided_servers() == []
         await proxy.wait_until_idle()
 
     run_loopback(serve_echo, test)
 
 
-def test_the_last_lines_of_a_client_arrive_though_the_backends_stand_unread() -> None:
-    got = asyncio.Event()
+def test_the_last_lines_of_a_client_arrive_though_the_servers_are_unread() -> None:
+    has_received = asyncio.Event()
     lines: list[bytes] = []
 
-    async def flood(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_flood(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"UP 77\r\n" + b"x" * 10_000_000 + b"\r\n")
         await asyncio.sleep(0.3)  # it reads late
         lines.append(await reader.readline())
-        got.set()
+        has_received.set()
         writer.close()
 
     async def test(proxy: LoopbackProxy) -> None:
@@ -233,15 +264,15 @@
         await asyncio.sleep(0.1)
         writer.write(b"my last words\r\n")
         writer.write_eof()
-        await got.wait()
+        await has_received.wait()
         writer.close()
         assert lines == [b"my last words\r\n"]
         await proxy.wait_until_idle()
 
-    run_loopback(flood, test)
+    run_loopback(serve_flood, test)
 
 
-def test_a_request_that_crosses_the_end_of_an_idle_connection_is_refused_without_a_reset() -> None:
+def test_a_request_that_crosses_the_close_of_its_idle_connection_is_rejected_without_a_reset() -> None:
     async def test(proxy: LoopbackProxy) -> None:
         loop = asyncio.get_running_loop()
         proxy.context.descriptor_limiter = DescriptorLimiter(RESERVED_DESCRIPTORS + 4)
@@ -250,12 +281,12 @@
         while not proxy.context.descriptor_limiter._idle_connections:
             await asyncio.sleep(0.01)
         second = await proxy.connect()
-        await tcp.wait_readable(first)  # room was wanted: BUSY is there, unread
+        await tcp.wait_readable(first)  # a descriptor was needed: BUSY is there, unread
         await asyncio.sleep(0.02)
         await loop.sock_sendall(first, OPEN % 99)
         await asyncio.sleep(0.02)
-        said = [await loop.sock_recv(first, 100) for _ in range(2)]
-        assert said == [b"BUSY\r\n", b""]
+        answers = [await loop.sock_recv(first, 100) for _ in range(2)]
+        assert answers == [b"BUSY\r\n", b""]
         await loop.sock_sendall(first, b"and more\r\n")  # a reset would be an error here
         first.close()
         second[1].close()
@@ -265,29 +296,29 @@
     run_loopback(serve_echo, test)
 
 
-def test_who_waits_in_the_backlog_as_the_process_ends_is_answered() -> None:
+def test_a_connection_in_the_backlog_as_the_process_ends_is_answered() -> None:
     async def test(proxy: LoopbackProxy) -> None:
         proxy.controller.post(BeginDrain(0, 0))
         proxy.listener.set_accepting(False)
         await asyncio.sleep(0.05)
         waiting = await proxy.open_session()
         await proxy.listener.close()
-        assert (await rest(waiting)).startswith(b"BUSY")
+        assert (await read_to_end(waiting)).startswith(b"BUSY")
         with pytest.raises(ConnectionRefusedError):
             await proxy.connect()
 
     run_loopback(serve_echo, test)
 
 
-def test_a_resting_connection_that_ends_as_it_is_probed_is_asked_anew() -> None:
-    """Guards against a sound backend taken for a lost one, and left to the last for 5 s."""
+def test_an_idle_connection_that_ends_as_its_server_is_checked_is_replaced() -> None:
+    """Guards against a healthy server taken for an unresponsive one, and avoided for 5 s."""
     connections: list[int] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connections.append(1)
         writer.write(b"PONG x0=0.5,inflight=7\r\n")
         if len(connections) == 1:
-            await reader.readline()  # the second probe: it ends without a word
+            await reader.readline()  # the second health check: it ends without an answer
             writer.close()
 
     async def test(proxy: LoopbackProxy) -> None:
@@ -297,21 +328,23 @@
     run_loopback(serve, test)
 
 
-def test_no_line_is_sent_for_a_client_that_leaves_as_its_connection_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_line_is_sent_for_a_client_that_disconnects_as_the_server_accepts(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(proxy: LoopbackProxy) -> None:
-        real, begun, late = Attempt.open, asyncio.Event(), asyncio.Event()
+        open_attempt = Attempt.open
+        has_begun = asyncio.Event()
+        may_connect = asyncio.Event()
 
-        async def slow(self: Attempt, *args: Any) -> AttemptEnd | None:
-            begun.set()
-            await late.wait()
-            return await real(self, *args)
+        async def open_late(self: Attempt, *args: Any) -> AttemptEnd | None:
+            has_begun.set()
+            await may_connect.wait()
+            return await open_attempt(self, *args)
 
-        monkeypatch.setattr(Attempt, "open", slow)
+        monkeypatch.setattr(Attempt, "open", open_late)
         _, writer = await proxy.open_session()
-        await begun.wait()
+        await has_begun.wait()
         writer.close()
         await proxy.wait_until_idle()
-        late.set()
+        may_connect.set()
         await asyncio.sleep(0.05)
         assert proxy.forwarded_requests == []
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The figures against a ledger of what the clients saw, over a random history; and their form."""
+"""The metrics, against what the clients saw over a random history, and their form."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 from tests.fleet import Stand
 from tests.test_sessions import LoopbackProxy, run_loopback
 
-KINDS = {b"UP": RequestOutcome.SUCCESS, b"BUSY": RequestOutcome.OVERLOAD}
+CLASSES = ["chat", "view"]
+OUTCOMES = {b"UP": RequestOutcome.SUCCESS, b"BUSY": RequestOutcome.OVERLOAD}
 
 
-def test_every_class_has_its_figures_from_the_first_reading_on() -> None:
-    figures = RequestMetrics(["chat", "view"])
-    figures.record_outcome("view", RequestOutcome.OVERLOAD)
-    figures.record_outcome("no such class", RequestOutcome.ERROR)
-    assert figures.render(3, 1).splitlines() == [
+def test_every_class_has_its_metrics_from_the_first_reading_on() -> None:
+    metrics = RequestMetrics(CLASSES)
+    metrics.record_outcome("view", RequestOutcome.OVERLOAD)
+    metrics.record_outcome("no such class", RequestOutcome.ERROR)
+    assert metrics.render(3, 1).splitlines() == [
         "proxy.success.chat:0|c",
         "proxy.success.view:0|c",
         "proxy.overload.chat:0|c",
@@ -36,60 +37,77 @@
     ]
 
 
-@pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_figures_are_what_the_clients_and_servers_saw(seed: int) -> None:
-    chance = random.Random(seed)
+class RandomHistory:
+    """Clients and a server that act at random, and what the clients saw."""
+
+    def __init__(self, seed: int) -> None:
+        self._random = random.Random(seed)
+        self.answers: Counter[tuple[str, RequestOutcome]] = Counter()  # by class
+        self.disconnected: Counter[str] = Counter()  # clients that left before their answer, by class
 
-    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
-            await asyncio.sleep(chance.choice([0, 0, 0.05]))
-            writer.write(chance.choice([b"UP 1\r\n", b"UP 1\r\n", b"BUSY\r\n", b"ERR x\r\n", b""]))
-            if chance.random() < 0.5:
+            await asyncio.sleep(self._random.choice([0, 0, 0.05]))
+            writer.write(self._random.choice([b"UP 1\r\n", b"UP 1\r\n", b"BUSY\r\n", b"ERR x\r\n", b""]))
+            if self._random.random() < 0.5:
                 await reader.read()
         writer.close()
 
-    async def client(proxy: LoopbackProxy, seen: Counter[tuple[str, RequestOutcome]], gone: list[str]) -> None:
-        name, act = chance.choice(["chat", "view"]), chance.random()
+    async def run_client(self, proxy: LoopbackProxy) -> None:
+        class_name = self._random.choice(CLASSES)
+        act = self._random.random()
         proxy.last_request_id += 1
         reader, writer = await proxy.connect()
-        writer.write(b"OPEN %016x 1 c=%s,d=2000\r\n" % (proxy.last_request_id, name.encode()))
+        writer.write(b"OPEN %016x 1 c=%s,d=2000\r\n" % (proxy.last_request_id, class_name.encode()))
         if act < 0.1:  # does not wait for UP
             writer.write(b"early\r\n")
-        if act > 0.9:  # leaves before its answer
-            gone.append(name)
+        if act > 0.9:
+            self.disconnected[class_name] += 1
             writer.close()
             return
         with contextlib.suppress(ConnectionResetError):
-            word = (await reader.readline()).strip().split(b" ")[0]
-            seen[name, KINDS.get(word, RequestOutcome.ERROR)] += bool(word)
+            keyword = (await reader.readline()).strip().split(b" ")[0]
+            if keyword:
+                self.answers[class_name, OUTCOMES.get(keyword, RequestOutcome.ERROR)] += 1
         writer.close()
 
+
+def read_metrics(proxy: LoopbackProxy) -> dict[str, int]:
+    """Returns the metrics by name."""
+    values = {}
+    for line in proxy.context.metrics.render(1, 0).splitlines():
+        name, value = line.split(":")
+        values[name] = int(value.split("|")[0])
+    return values
+
+
+@pytest.mark.parametrize("seed", [1, 2, 3])
+def test_the_metrics_are_what_the_clients_and_servers_saw(seed: int) -> None:
+    history = RandomHistory(seed)
+
     async def test(proxy: LoopbackProxy) -> None:
-        seen: Counter[tuple[str, RequestOutcome]] = Counter()
-        gone: list[str] = []
         for turn in range(6):
-            await asyncio.gather(*(client(proxy, seen, gone) for _ in range(10)))
+            await asyncio.gather(*(history.run_client(proxy) for _ in range(10)))
             if turn == 3:
-                proxy.controller._recovery.recover(RuntimeError("a fault of the module"))
+                proxy.controller._recovery.recover(RuntimeError("a fault of the policy"))
             if turn == 4:
                 proxy.controller.post(BeginDrain(0, 0))
         await proxy.wait_until_idle()
-        told = {
-            line.split(":")[0]: int(line.split(":")[1].split("|")[0])
-            for line in proxy.context.metrics.render(1, 0).splitlines()
-        }
-        for name in ("chat", "view"):
-            counts = {verdict: told[f"proxy.{verdict.value}.{name}"] for verdict in RequestOutcome}
-            assert all(counts[verdict] >= seen[name, verdict] for verdict in RequestOutcome)
-            assert sum(counts.values()) - sum(seen[name, verdict] for verdict in RequestOutcome) <= gone.count(name)
-        # A client that leaves at once may take its attempt back before its line is read.
-        assert len(proxy.forwarded_requests) <= told["proxy.dispatches"] <= len(proxy.forwarded_requests) + len(gone)
-        assert told["proxy.concurrent"] == 0
-
-    run_loopback(serve, test)
-
-
-def test_avoided_are_those_that_leave_that_failed_and_that_do_not_answer() -> None:
+        metrics = read_metrics(proxy)
+        for class_name in CLASSES:
+            counted = {outcome: metrics[f"proxy.{outcome.value}.{class_name}"] for outcome in RequestOutcome}
+            seen = {outcome: history.answers[class_name, outcome] for outcome in RequestOutcome}
+            assert all(counted[outcome] >= seen[outcome] for outcome in RequestOutcome)
+            assert sum(counted.values()) - sum(seen.values()) <= history.disconnected[class_name]
+        # A client that leaves at once may have its attempt cancelled before the server reads its line.
+        received = len(proxy.forwarded_requests)
+        assert received <= metrics["proxy.dispatches"] <= received + history.disconnected.total()
+        assert metrics["proxy.concurrent"] == 0
+
+    run_loopback(history.serve, test)
+
+
+def test_servers_that_drain_or_failed_are_avoided() -> None:
     stand = Stand()
     stand.fleet(a=0, b=0, c=0, d=0, e=0)
     for name in "abcde":
