--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -65,8 +65,9 @@
         free = {name for name, inner in needs.items() if not inner}
         assert free, f"a circle among {sorted(needs)}"
         needs = {name: inner - free for name, inner in needs.items() if name not in free}
-    owner = (ROOT / "stoatgw" / "owner").glob("*.py")
-    assert not any("stoatgw.line_protocol" in path.read_text() for path in owner)
+    controller = list((ROOT / "stoatgw" / "controller").glob("*.py"))
+    assert controller
+    assert not any("stoatgw.line_protocol" in path.read_text() for path in controller)
 
 
 def test_the_service_knows_nothing_of_the_lab() -> None:
