--- a/stoatgw/controller/actions.py
+++ b/stoatgw/controller/actions.py
@@ -28,7 +28,7 @@
 
 
 class BackendGateway(Protocol):
-    """The way to the session servers and to discovery, for what the decisions ask of them."""
+    """The session servers and discovery, as the policy's actions use them."""
 
     def check_health(self, server: str) -> None:
         """Starts a health check; its end is posted as `HealthCheckCompleted`."""
@@ -60,12 +60,12 @@
         self._log = log
         self._gateway: BackendGateway | None = None
         self._performers: dict[type[Action], Callable[[Any], None]] = {
-            Send: attempts.start,
-            Cancel: attempts.cancel,
+            Send: attempts.perform_send,
+            Cancel: attempts.perform_cancel,
             Reject: requests.perform_reject,
             Fail: requests.perform_fail,
             Migrate: migrations.perform_migrate,
-            SetTimer: timers.set,
+            SetTimer: timers.perform_set_timer,
             CheckHealth: self._check_health,
             CloseIdle: self._close_idle,
             FetchEndpoints: self._fetch_endpoints,
--- a/stoatgw/controller/attempts.py
+++ b/stoatgw/controller/attempts.py
@@ -26,7 +26,7 @@
 
 
 class AttemptTracker:
-    """Starts and cancels attempts for the policy and notifies it of what comes of them.
+    """Starts and cancels attempts for the policy and notifies it of what becomes of them.
 
     Called from the controller's task only.
     """
@@ -41,7 +41,7 @@
 
     # Actions of the policy.
 
-    def start(self, action: Send) -> None:
+    def perform_send(self, action: Send) -> None:
         """Starts an attempt, cut at the client's deadline; one that may not start has the outcome `UNUSED`."""
         state = self._requests.get(action.request_id)
         if state is None:
@@ -61,7 +61,7 @@
             state.retry_before_us = max(1, state.first_run_us + request_class.key_ttl_us - RETRY_GUARD_US)
         state.handler.start_attempt(number, action.server, deadline_us)
 
-    def cancel(self, action: Cancel) -> None:
+    def perform_cancel(self, action: Cancel) -> None:
         """Cancels an attempt that is still being set up."""
         state = self._requests.get(action.request_id)
         if state is not None and state.active_attempt == action.attempt and not state.is_established:
@@ -70,7 +70,7 @@
     # Messages.
 
     def handle_restored(self, message: SessionRestored) -> None:
-        """Takes in a session that was established before this process started."""
+        """Adds a session that was established before this process started."""
         state = message.state
         self._requests.add(state)
         state.is_established = True
--- a/stoatgw/controller/controller.py
+++ b/stoatgw/controller/controller.py
@@ -49,9 +49,9 @@
 
 
 class Controller:
-    """Takes messages from all tasks of the proxy and handles them in one.
+    """Accepts messages from all tasks of the proxy and handles them in one.
 
-    `start` comes once, before `run`. Other tasks only post messages and read figures; they must not await what the
+    `start` is called once, before `run`. Other tasks only post messages and read counts; they do not wait for what the
     controller does.
     """
 
--- a/stoatgw/controller/decision_runner.py
+++ b/stoatgw/controller/decision_runner.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from stoatgw.controller.policy import DecisionPolicy, MakePolicy, MigratingPolicy
+from stoatgw.controller.policy import MakePolicy, MigratingPolicy
 from stoatgw.decisions.interface import Action, Event, Settings
 
 
@@ -20,7 +20,7 @@
 class DecisionRunner:
     """The policy in use and the time at which it decides.
 
-    Called from the controller's task only. `attach` comes before the first event.
+    Called from the controller's task only. `attach` is called before the first event.
 
     Attributes:
         now_us: The time of the batch of messages in hand; all its events reach the policy at this time.
@@ -38,11 +38,6 @@
         """Sets who carries out the actions."""
         self._performer = performer
 
-    @property
-    def policy(self) -> DecisionPolicy:
-        """The policy in use."""
-        return self._policy
-
     @property
     def migrating_policy(self) -> MigratingPolicy | None:
         """The policy in use if it can migrate sessions and report on servers, else None."""
--- a/stoatgw/controller/drain.py
+++ b/stoatgw/controller/drain.py
@@ -50,7 +50,7 @@
     def migration_delays_s(self, sessions: int) -> Iterator[float]:
         """Yields after how long each of the sessions established before the drain migrates.
 
-        None does before new requests stop coming here: its client would come back and be rejected. The rate rises:
+        None does before new requests stop coming here: its client would return and be rejected. The rate rises:
         a session that migrates late is served the longer, and a peer that restarted just before is back by then.
         """
         for index in range(sessions):
--- a/stoatgw/controller/graceful_shutdown.py
+++ b/stoatgw/controller/graceful_shutdown.py
@@ -10,7 +10,7 @@
 MAX_DEADLINE_US = 3_000_000  # the longest deadline counts as so much at most; the kill comes 0.7 s after it
 
 ACCEPT_WINDOW_US = 400_000  # new clients are routed here for so long after SIGTERM
-MAX_ADMISSION_WINDOW_US = 800_000  # requests are served for so long: of new clients, and of some that ask late
+MAX_ADMISSION_WINDOW_US = 800_000  # requests are served for so long, of new clients and of late ones
 MIN_SHUTDOWN_US = 1_000_000  # new clients are answered for so long, also where there are no sessions
 SHUTDOWN_MARGIN_US = 500_000  # the process ends so long after the longest deadline
 FINAL_ANSWER_MARGIN_US = 100_000  # the last requests are answered so long before the process ends
@@ -25,7 +25,7 @@
     """The drain of a shutdown, and when the process ends after SIGTERM.
 
     Attributes:
-        drain: What the controller is told.
+        drain: The message to the controller.
         min_duration_us: The process does not end before that.
         max_duration_us: It ends then at the latest; between the two, as soon as all clients have gone.
     """
@@ -38,10 +38,10 @@
 def plan_shutdown(settings: Settings, *, handed_over: bool) -> ShutdownPlan:
     """Plans the shutdown on SIGTERM; `handed_over`: another process of this proxy accepts its clients.
 
-    A shutdown without handover takes nearly all of its time. Established sessions are served until they migrate: when
-    all migrated within a second, all of a proxy's clients came to its peers between two load reports, and most of them
-    were rejected. New clients are served too, and migrated with the others: rejected, they would use up their retries
-    while they are still routed here.
+    A shutdown without handover uses nearly all of the time until the kill. Established sessions are served until they
+    migrate: when all migrated within a second, all of a proxy's clients reached its peers between two load reports, and
+    most of them were rejected. New clients are served too, and migrated with the others: rejected, they would use up
+    their retries while they are still routed here.
     """
     longest_us = min(MAX_DEADLINE_US, max(request_class.deadline_us for request_class in settings.profiles))
     if handed_over:
--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -15,7 +15,7 @@
 
 
 class AttemptStage(Enum):
-    """How far an attempt had come; it decides whether the request may have run."""
+    """How far an attempt got; it decides whether the request may have run."""
 
     CONNECTING = "connecting"
     SENDING = "sending"
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt ended, as a value: its status, how far it had come, and why."""
+    """How an attempt ended, as a value: its status, how far it got, and why."""
 
     status: AttemptStatus
     stage: AttemptStage
@@ -36,7 +36,7 @@
 class RequestHandler(Protocol):
     """The client's side of a request, called from the controller's task.
 
-    No call may block; an exception would be taken for a fault of the policy.
+    No call may block; an exception counts as a fault of the policy.
     """
 
     def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
@@ -56,7 +56,7 @@
         ...
 
     def migrate(self) -> None:
-        """Closes the established session cleanly, so that its client comes back elsewhere."""
+        """Closes the established session cleanly, so that its client reconnects elsewhere."""
         ...
 
 
@@ -195,7 +195,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginDrain:
-    """The proxy is to lose all its clients: once no new ones come, their sessions migrate one by one.
+    """The proxy is to lose all its clients: once no new ones connect, their sessions migrate one by one.
 
     Posted by the main task on SIGTERM, by the management API's task for an operator, and by the maintenance task.
 
@@ -217,7 +217,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MigrateSession:
-    """The time of a session in a drain or an evacuation has come. Posted by the event loop."""
+    """A session is due to migrate, in a drain or an evacuation. Posted by the event loop."""
 
     state: RequestState
 
--- a/stoatgw/controller/migrations.py
+++ b/stoatgw/controller/migrations.py
@@ -94,7 +94,7 @@
     # Single sessions.
 
     def handle_migrate_session(self, message: MigrateSession) -> None:
-        """Migrates a session whose time in a drain or an evacuation has come."""
+        """Migrates a session that is due in a drain or an evacuation, if it is still established."""
         state = message.state
         if state.is_established and state.active_attempt is not None:
             self._migrate(state)
@@ -120,7 +120,7 @@
     def _migrate(self, state: RequestState) -> None:
         """Migrates a session after the policy has recorded it.
 
-        Otherwise the policy would take the drain of its own proxy for a fault of the servers, and avoid them all for
+        Otherwise the policy would mistake the drain of its own proxy for a fault of the servers, and avoid them all for
         seconds after the drain is cancelled.
         """
         policy = self._decisions.migrating_policy
--- a/stoatgw/controller/policy.py
+++ b/stoatgw/controller/policy.py
@@ -16,13 +16,13 @@
         ...
 
     def handle(self, event: Event, now_us: int) -> list[Action]:
-        """Takes in an event and returns the actions that follow from it, in order."""
+        """Handles an event and returns the actions that follow from it, in order."""
         ...
 
 
 @runtime_checkable
 class MigratingPolicy(DecisionPolicy, Protocol):
-    """A policy that also reports what it knows of the servers and takes migrations decided elsewhere into account."""
+    """A policy that also reports its estimates of the servers and records migrations that are decided elsewhere."""
 
     def estimates(self, now_us: int) -> list[ServerEstimate]:
         """Returns what the policy believes of each server that is ready."""
--- a/stoatgw/controller/requests.py
+++ b/stoatgw/controller/requests.py
@@ -48,7 +48,7 @@
         return self._states.get(request_id)
 
     def add(self, state: RequestState) -> None:
-        """Takes a request in, until `forget`."""
+        """Adds a request, until `forget`."""
         self._states[state.request.request_id] = state
 
     def forget(self, state: RequestState) -> None:
--- a/stoatgw/controller/timers.py
+++ b/stoatgw/controller/timers.py
@@ -23,7 +23,7 @@
         self._clock = clock
         self._queue = queue
 
-    def set(self, action: SetTimer) -> None:
+    def perform_set_timer(self, action: SetTimer) -> None:
         """Starts a timer."""
         self._schedule(action.token, action.at_us)
 
--- a/stoatgw/telemetry/counters.py
+++ b/stoatgw/telemetry/counters.py
@@ -8,9 +8,9 @@
 class Counters:
     """Counters by name, from 0 at the start of the process.
 
-    A counter's name stands where it is counted, and nowhere else: the counted thing in the plural, then what became of
-    it, which may be the value of an enum: `requests_rejected`, `attempts_shed`. All counters in use are fields of the
-    log events `counters_reported`, on SIGUSR1, and `proxy_stopped`.
+    A counter's name is written where it is counted, and nowhere else: the counted thing in the plural, then what
+    became of it, which may be the value of an enum: `requests_rejected`, `attempts_shed`. All counters in use are
+    fields of the log events `counters_reported`, on SIGUSR1, and `proxy_stopped`.
     """
 
     def __init__(self) -> None:
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -101,7 +101,7 @@
         if machine is not None:  # the first goes on beside the second
             self._realm.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
 
-    monkeypatch.setattr(AttemptTracker, "start", send_again)
+    monkeypatch.setattr(AttemptTracker, "perform_send", send_again)
     monkeypatch.setattr(Session, "start_attempt", both)
     assert Rule.SINGLE_ATTEMPT in rules_broken("calm")
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -123,7 +123,7 @@
         assert handler.calls == []
         checked = [call[1] for call in harness.gateway.calls if call[0] == "check_health"]
         await harness.deliver(BeginDrain(0, 0) if by_drain else RequestTimedOut(state))
-        balancer = harness.controller._decisions.policy
+        balancer = harness.controller._decisions._policy
         assert isinstance(balancer, Balancer)
         assert len(handler.calls) == 1
         assert not balancer._connections
@@ -158,7 +158,7 @@
         new, new_handler = harness.new_request()
         await harness.deliver(RequestReceived(in_flight), SessionRestored(established, "a"))
         with monkeypatch.context() as patch:
-            patch.setattr(harness.controller._decisions.policy, "handle", handle)
+            patch.setattr(harness.controller._decisions._policy, "handle", handle)
             await harness.deliver(RequestReceived(new))
         assert new_handler.calls == ["fail"]
         assert harness.gateway.calls[-1] == "fetch_endpoints"
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -62,7 +62,7 @@
         assert await reader.read() == b"still here\r\nBYE\r\n"
         writer.close()
         await proxy.wait_until_idle()
-        assert not proxy.controller._decisions.policy._own.under_way  # type: ignore[attr-defined]
+        assert not proxy.controller._decisions._policy._own.under_way  # type: ignore[attr-defined]
 
     run_loopback(serve_echo, test)
 
@@ -237,7 +237,7 @@
         raise OSError(errno.EMFILE, "none left")
 
     async def test(proxy: LoopbackProxy) -> None:
-        proxy.controller._decisions.policy._settings = settings_with(idempotency)  # type: ignore[attr-defined]
+        proxy.controller._decisions._policy._settings = settings_with(idempotency)  # type: ignore[attr-defined]
         monkeypatch.setattr(tcp, "create_socket", create_socket)
         assert (await read_to_end(await proxy.open_session())).startswith(b"BUSY")
         assert proxy.controller.avoided_servers() == []
