--- a/stoatgw/decisions/actions.py
+++ b/stoatgw/decisions/actions.py
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt; it is given up at `cut_at_us`."""
+    """Start an attempt, which times out at `deadline_us`."""
 
     request_id: str
     server: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: turned away, a repeat is harmless. Zero means no advice."""
+    """Final answer: rejected, a repeat is harmless; `retry_after_us` is zero without advice."""
 
     request_id: str
     retry_after_us: int = 0
@@ -39,26 +39,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Migrate:
-    """Close a standing connection cleanly; its client comes back."""
+    """Close an established connection cleanly; its client reconnects."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open or close the subscription to the server list."""
+    """Open or close the subscription to the endpoint list."""
 
     is_wanted: bool
 
 
 @dataclass(frozen=True, slots=True)
 class FetchEndpoints:
-    """Ask once for the whole server list."""
+    """Fetch the complete endpoint list once."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerDue at a time of the clock."""
+    """Set a timer: a `TimerExpired` is due at a time of the clock."""
 
     at_us: int
     token: int
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckHealth:
-    """Check on a server and read its load report."""
+    """Check a server's health and read its load report."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Give back idle connections to a server."""
+    """Close idle connections to a server."""
 
     server: str
 
--- a/stoatgw/decisions/events.py
+++ b/stoatgw/decisions/events.py
@@ -10,7 +10,7 @@
 
 
 class Lifecycle(Enum):
-    """A server's state in the list."""
+    """A server's state in the endpoint list."""
 
     ACTIVE = "on"
     DRAINING = "fading"
@@ -18,7 +18,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What a list update holds."""
+    """What an endpoint update holds: changes, the complete list, a persisted one, or none."""
 
     DELTA = "diff"
     SNAPSHOT = "snapshot"
@@ -27,7 +27,7 @@
 
 
 class AttemptStatus(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a health check ended."""
 
     DELIVERED = "delivered"
     APP_ERROR = "app_error"
@@ -40,12 +40,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether it proves that the attempt did not run and will not."""
+        """Whether this proves that the attempt did not run and will not."""
         return self in (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED, AttemptStatus.UNUSED)
 
 
 class SessionMetricKind(Enum):
-    """What a note about a running attempt tells."""
+    """What a session metric measures: its load, or a message's latency."""
 
     LOAD = 1
     DELAY = 2
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the server list."""
+    """One server of the endpoint list; `weight` is a live weight where the settings say so."""
 
     name: str
     lifecycle: Lifecycle = Lifecycle.ACTIVE
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """News of the server list; ERROR carries no entries."""
+    """An update of the endpoint list; ERROR carries no endpoints."""
 
     kind: EndpointUpdateKind
     version: int = 0
@@ -75,7 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client asks for a connection; exactly one final answer is owed."""
+    """A client requests a connection; exactly one final answer is owed.
+
+    `hint_us` is the work that its connection may cause; it counts only if `hint_valid`. `is_client_retry` is true for
+    a repeat by the client itself, `is_returning` for a client that a peer's drain has sent away.
+    """
 
     request_id: str
     request_class: int
@@ -92,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRestored:
-    """A connection that stood before this balancer started; its attempt 0 was made."""
+    """A connection that was established before this balancer started, by attempt 0."""
 
     request: Request
     server: str
@@ -100,7 +104,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEstablished:
-    """The server took the connection; no deadline binds from here on."""
+    """The server accepted the connection; no deadline applies from here on."""
 
     request_id: str
     attempt: int
@@ -110,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionMetric:
-    """News of a running attempt: its load (us of work a second) or a message's delay (ms)."""
+    """A metric of an established session: its load (us of work a second) or a message's latency (ms)."""
 
     request_id: str
     attempt: int
@@ -121,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt ended; `final` means that no answer is owed any more."""
+    """How an attempt ended; `is_final` means that no answer is owed any more."""
 
     request_id: str
     attempt: int
@@ -134,21 +138,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """Nobody waits for this request any more."""
+    """The client has disconnected: nobody waits for this request any more."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerExpired:
-    """A timer asked for by SetTimer has come due."""
+    """A timer set by `SetTimer` has expired."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """What one probe found; the report follows `Settings.report_columns`."""
+    """The result of one health check; the load report follows `Settings.report_columns`."""
 
     server: str
     status: AttemptStatus
--- a/stoatgw/decisions/health_checking.py
+++ b/stoatgw/decisions/health_checking.py
@@ -34,6 +34,7 @@
     now_us = context.now_us
 
     def weighted_age(server: ServerState) -> float:
+        """Draw for every due server, also where none may be checked: all draws keep their order."""
         factor = LOCAL_ZONE_FACTOR if server.endpoint.zone == context.settings.zone else 1.0
         return factor * (now_us - server.health_checked_us) * context.rng.uniform(1, 3)
 
--- a/stoatgw/decisions/overload.py
+++ b/stoatgw/decisions/overload.py
@@ -84,6 +84,7 @@
     """Migrate a part of a server's sessions, while another one has capacity or it is overfull."""
 
     def order(session: ConnectionState) -> tuple[float, float]:
+        """Lowest priority weight first, the heaviest of these first."""
         return priority_weight(context, session), -session.load_units
 
     sessions = sorted(context.connections.migratable(server), key=order)
--- a/stoatgw/decisions/server_estimate.py
+++ b/stoatgw/decisions/server_estimate.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEstimate:
-    """What the module believes of a ready server now, for whoever plans moves."""
+    """What a balancer estimates of a ready server now."""
 
     server: str
     zone: int
@@ -18,6 +18,6 @@
     connections: float  # connections held, by all balancers
     report_age_us: int  # of its last report
     warm_up_fraction: float  # part of its full capacity that it has by now
-    setups_in_flight: int  # own set-ups
-    is_healthy: bool  # neither left out nor failing nor late
-    own_sessions: tuple[Request, ...]  # own standing connections on it that are not moving
+    setups_in_flight: int  # of this balancer
+    is_healthy: bool  # neither ejected nor failing nor slow nor overloaded
+    own_sessions: tuple[Request, ...]  # own established connections on it that are not migrating
--- a/stoatgw/decisions/server_selection.py
+++ b/stoatgw/decisions/server_selection.py
@@ -46,7 +46,8 @@
                 # Sent too many connections, a server that is warming up falls over for good.
                 if is_warming_up and not context.has_slow_start_capacity(server, connection):
                     continue
-                best, best_rank = server, rank
+                best = server
+                best_rank = rank
             is_last_choice, is_over_spill_load, _, _ = rank
             if not (is_last_choice or is_over_spill_load):
                 found += 1
--- a/stoatgw/decisions/settings.py
+++ b/stoatgw/decisions/settings.py
@@ -14,7 +14,7 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request of a class may do."""
+    """Whether a request of a class may be repeated: at will, by its idempotency key, or never once it may have run."""
 
     RETRYABLE = "retryable"
     DEDUP = "dedup"
@@ -22,7 +22,7 @@
 
 
 class KeyScope(Enum):
-    """Which servers drop the repeats of a DEDUP request."""
+    """Which servers recognise the idempotency key of a DEDUP request, and drop its repeats."""
 
     ALL = "all"
     ZONE = "zone"
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """One request class."""
+    """One request class; `worth` is its priority weight."""
 
     on_time_us: int
     deadline_us: int
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a balancer is told once, at its start."""
+    """What a balancer is created with; the names mirror the platform's settings."""
 
     profiles: tuple[RequestClass, ...]
     balancers: int = 1
@@ -66,7 +66,7 @@
     park_us: int = 0
     groups: bool = False
     over_share_worth: float = 1.0
-    tenants: tuple[str, ...] = ()  # by name, as clients' lines tell them; the same order as the quotas
+    tenants: tuple[str, ...] = ()  # by name, as session requests carry them; in the order of the quotas
     tenant_quota_connections: tuple[float, ...] = ()
     report_columns: tuple[str, ...] = ()
     answer_slack_us: int = 0
--- a/stoatgw/decisions/state/context.py
+++ b/stoatgw/decisions/state/context.py
@@ -65,18 +65,21 @@
         """
         counts = BalancerState(health_check_credit=health_check_credit)
         fleet = FleetState()
+        checks_on_request = is_large_fleet and settings.can_probe
         return cls(
             settings=settings,
             rng=random.Random(seed),
             counts=counts,
             fleet=fleet,
             connections=ConnectionTable(counts),
-            estimator=LoadEstimator(settings, fleet, counts, is_large_fleet=is_large_fleet),
+            estimator=LoadEstimator(
+                settings, fleet, counts, is_large_fleet=is_large_fleet, checks_on_request=checks_on_request
+            ),
             slow_start=SlowStartLimiter(settings, is_large_fleet=is_large_fleet),
             subscription=EndpointSubscription(settings),
             max_priority_weight=max(profile.worth for profile in settings.profiles) or 1.0,
             latency_objective_ms=min(profile.message_aim_us for profile in settings.profiles) / 1000,
-            checks_on_request=is_large_fleet and settings.can_probe,
+            checks_on_request=checks_on_request,
         )
 
     def log(self, kind: str, text: str) -> None:
--- a/stoatgw/decisions/state/load_estimator.py
+++ b/stoatgw/decisions/state/load_estimator.py
@@ -22,13 +22,21 @@
 class LoadEstimator:
     """Takes in load reports and estimates the load of servers."""
 
-    def __init__(self, settings: Settings, fleet: FleetState, counts: BalancerState, *, is_large_fleet: bool) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        fleet: FleetState,
+        counts: BalancerState,
+        *,
+        is_large_fleet: bool,
+        checks_on_request: bool,
+    ) -> None:
         """Create an estimator over the observations in `fleet` and `counts`."""
         self._settings = settings
         self._fleet = fleet
         self._counts = counts
         self._is_large_fleet = is_large_fleet
-        self._checks_on_request = is_large_fleet and settings.can_probe
+        self._checks_on_request = checks_on_request
 
     def record_report(self, server: ServerState, report: LoadReport, now_us: int) -> None:
         """Take in a server's load report."""
