--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A small stand for the tests: one balancer, a clock, and shorthands for events. No bench."""
+"""A test harness: one balancer, a clock, and shorthands for events."""
 
 from __future__ import annotations
 
@@ -58,86 +58,99 @@
     return Settings(**(base | changes))
 
 
-class Stand:
+class BalancerHarness:
     """Drives one balancer and remembers the actions of the last event."""
 
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.balancer = Balancer(config or settings(), seed)
         self.now_us = T0
-        self.asked = 0
-        self.told: dict[str, HealthCheckResult] = {}  # what each server last said, and says again when it is probed
+        self.request_count = 0
+        # The last result of each server, which it gives again whenever it is checked.
+        self.health_check_results: dict[str, HealthCheckResult] = {}
         self.actions = self.balancer.start(self.now_us)
 
     @property
     def context(self) -> DecisionContext:
-        """What the balancer knows."""
+        """The state of the balancer."""
         return self.balancer._context
 
     def server(self, name: str) -> ServerState:
-        """What the balancer knows of a listed server."""
+        """The state of a listed server."""
         return self.context.fleet.servers[name]
 
     def warm_up_fraction(self, name: str) -> float:
-        """How far a server has warmed up, by what the balancer knows."""
+        """How far a server has warmed up, by the balancer's state."""
         return self.server(name).warm_up_fraction(self.now_us, self.context.settings)
 
-    def event(self, event: Event) -> list[Action]:
+    def handle(self, event: Event) -> list[Action]:
+        """Handle one event now."""
         self.actions = self.balancer.handle(event, self.now_us)
         if isinstance(event, HealthCheckResult):
-            self.told[event.server] = event
+            self.health_check_results[event.server] = event
         return self.actions
 
-    def servers(self, *entries: Endpoint, kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT) -> list[Action]:
-        return self.event(EndpointUpdate(kind, 1, entries))
+    def update_endpoints(
+        self, *endpoints: Endpoint, kind: EndpointUpdateKind = EndpointUpdateKind.SNAPSHOT
+    ) -> list[Action]:
+        """Handle an update of the endpoint list."""
+        return self.handle(EndpointUpdate(kind, 1, endpoints))
 
-    def fleet(self, **zones: int) -> None:
-        """A list of settled servers by name and zone."""
-        self.servers(*(Endpoint(name, zone=zone) for name, zone in zones.items()))
+    def list_servers(self, **zones: int) -> None:
+        """List warm servers by name and zone, and no others."""
+        self.update_endpoints(*(Endpoint(name, zone=zone) for name, zone in zones.items()))
 
     def report(self, server: str, load: float | None, count: float | None) -> list[Action]:
-        return self.event(HealthCheckResult(server, AttemptStatus.DELIVERED, 1_000, (load, count)))
+        """Handle a health check's result with a load report."""
+        return self.handle(HealthCheckResult(server, AttemptStatus.DELIVERED, 1_000, (load, count)))
 
-    def period(self, seconds: float = 1.0) -> list[Action]:
+    def advance_period(self, seconds: float = 1.0) -> list[Action]:
+        """End a period after so many seconds."""
         self.now_us += int(seconds * SECOND)
-        return self.event(TimerExpired(0))
+        return self.handle(TimerExpired(0))
 
-    def ask(self, profile: int = 0, **fields: Any) -> list[Action]:
-        self.asked += 1
-        request = fields.pop("request", f"{self.asked:016x}")
-        left_us = fields.pop("patience_left_us", 2 * SECOND)
-        return self.answered(self.event(Request(request, profile, left_us, **fields)))
+    def request(self, request_class: int = 0, **fields: Any) -> list[Action]:
+        """Request a connection, and answer the health checks that this causes."""
+        self.request_count += 1
+        request_id = fields.pop("request_id", f"{self.request_count:016x}")
+        return self.answer_health_checks(self.handle(Request(request_id, request_class, 2 * SECOND, **fields)))
 
-    def answered(self, actions: list[Action]) -> list[Action]:
-        """What comes of these once every probe among them is answered: by what its server last said, or by nothing."""
+    def answer_health_checks(self, actions: list[Action]) -> list[Action]:
+        """Answer every health check among the actions by the server's last result, or by none; return all actions."""
         done: list[Action] = []
         while actions:
             done += actions
-            probes = [action.server for action in actions if isinstance(action, CheckHealth)]
+            checked = [action.server for action in actions if isinstance(action, CheckHealth)]
             actions = []
-            for server in probes:
-                silent = HealthCheckResult(server, AttemptStatus.EXPIRED, 500_000, ())
-                actions += self.balancer.handle(self.told.get(server, silent), self.now_us)
+            for server in checked:
+                unanswered = HealthCheckResult(server, AttemptStatus.EXPIRED, 500_000, ())
+                actions += self.balancer.handle(self.health_check_results.get(server, unanswered), self.now_us)
         self.actions = done
         return done
 
-    def begin(self, request: str, server: str, attempt: int = 0) -> list[Action]:
-        return self.event(AttemptEstablished(request, attempt, server, 10_000))
+    def establish(self, request_id: str, server: str, attempt: int = 0) -> list[Action]:
+        """Establish an attempt's connection."""
+        return self.handle(AttemptEstablished(request_id, attempt, server, 10_000))
 
-    def ended(
-        self, request: str, server: str, status: AttemptStatus, final: bool = False, attempt: int = 0
+    def end_attempt(
+        self, request_id: str, server: str, status: AttemptStatus, *, is_final: bool = False, attempt: int = 0
     ) -> list[Action]:
-        return self.event(AttemptOutcome(request, attempt, server, status, 10_000, final))
+        """End an attempt or its connection."""
+        return self.handle(AttemptOutcome(request_id, attempt, server, status, 10_000, is_final))
 
-    def late(self, request: str, server: str, delay_ms: float) -> list[Action]:
-        return self.event(SessionMetric(request, 0, server, SessionMetricKind.DELAY, delay_ms))
+    def report_latency(self, request_id: str, server: str, latency_ms: float) -> list[Action]:
+        """Handle a message's latency."""
+        return self.handle(SessionMetric(request_id, 0, server, SessionMetricKind.DELAY, latency_ms))
 
-    def of(self, kind: type[A]) -> list[A]:
+    def actions_of(self, kind: type[A]) -> list[A]:
+        """The actions of one type among the last ones."""
         return [action for action in self.actions if isinstance(action, kind)]
 
     def sent_to(self) -> str | None:
-        sends = self.of(Send)
+        """The server that the last actions send a request to, if any."""
+        sends = self.actions_of(Send)
         return sends[0].server if sends else None
 
 
-def drain(name: str, zone: int = 0) -> Endpoint:
+def draining(name: str, zone: int = 0) -> Endpoint:
+    """An endpoint that drains."""
     return Endpoint(name, Lifecycle.DRAINING, zone)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -12,7 +12,7 @@
 from stoatgw.controller.messages import BeginDrain
 from stoatgw.decisions.interface import AttemptStatus, Endpoint, EndpointUpdate, EndpointUpdateKind, Lifecycle, Request
 from stoatgw.telemetry.metrics import RequestMetrics, RequestOutcome
-from tests.fleet import Stand
+from tests.fleet import BalancerHarness
 from tests.test_sessions import LoopbackProxy, run_loopback
 
 KINDS = {b"UP": RequestOutcome.SUCCESS, b"BUSY": RequestOutcome.OVERLOAD}
@@ -90,17 +90,17 @@
 
 
 def test_avoided_are_those_that_leave_that_failed_and_that_do_not_answer() -> None:
-    stand = Stand()
-    stand.fleet(a=0, b=0, c=0, d=0, e=0)
+    stand = BalancerHarness()
+    stand.list_servers(a=0, b=0, c=0, d=0, e=0)
     for name in "abcde":
         stand.report(name, 0.1, 5)
     assert stand.balancer.avoided_servers(stand.now_us) == []
-    stand.event(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (Endpoint("a", Lifecycle.DRAINING),)))
+    stand.handle(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (Endpoint("a", Lifecycle.DRAINING),)))
     stand.now_us += 1
-    stand.event(Request("0" * 16, 0, 2_000_000))
+    stand.handle(Request("0" * 16, 0, 2_000_000))
     tried = stand.sent_to()
     assert tried is not None
-    stand.ended("0" * 16, tried, AttemptStatus.DROPPED)
+    stand.end_attempt("0" * 16, tried, AttemptStatus.DROPPED)
     assert stand.balancer.avoided_servers(stand.now_us) == sorted(["a", tried])
     stand.now_us += 10_000_000
     assert stand.balancer.avoided_servers(stand.now_us) == ["a"]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -29,7 +29,7 @@
     SessionMetricKind,
 )
 from tests import fleet
-from tests.fleet import SECOND, T0, Stand
+from tests.fleet import SECOND, T0, BalancerHarness
 
 PROFILES = tuple(
     RequestClass(200_000, SECOND, worth, idempotency, scope, 700_000, 80_000)
@@ -64,7 +64,7 @@
 
     def __init__(self, draw: st.DataObject) -> None:
         self.draw = draw
-        self.stand = Stand(
+        self.harness = BalancerHarness(
             fleet.settings(
                 profiles=PROFILES,
                 balancers=draw.draw(st.integers(1, 4)),
@@ -77,17 +77,19 @@
         self.entries = {name: Endpoint(name, zone=index % 3, cell=index // 2) for index, name in enumerate(SERVERS)}
         self.down_us: dict[str, int] = {}
         self.requests: dict[str, Seen] = {}
-        self.check(self.stand.servers(*self.entries.values()))
+        self.check(self.harness.update_endpoints(*self.entries.values()))
 
     def check(self, actions: list[Action]) -> None:
-        now_us = self.stand.now_us
+        now_us = self.harness.now_us
         for action in actions:
             if isinstance(action, Send):
                 seen = self.requests[action.request_id]
                 entry = self.entries[action.server]
-                assert not seen.over and not seen.out and not seen.standing
+                assert not seen.over
+                assert not seen.out
+                assert not seen.standing
                 assert now_us < action.deadline_us < seen.deadline_us
-                assert len(seen.attempts) < self.stand.context.settings.max_attempts
+                assert len(seen.attempts) < self.harness.context.settings.max_attempts
                 if action.server in self.down_us:
                     assert now_us <= self.down_us[action.server] + SECOND
                 self.check_repeat(seen, entry)
@@ -95,7 +97,9 @@
                 seen.out = True
             elif isinstance(action, Reject | Fail):
                 seen = self.requests[action.request_id]
-                assert not seen.over and not seen.out and not seen.standing
+                assert not seen.over
+                assert not seen.out
+                assert not seen.standing
                 seen.over = True
                 profile = seen.profile
                 if isinstance(action, Reject) and seen.first_run is not None:
@@ -111,7 +115,7 @@
             return
         assert seen.profile.idempotency is Idempotency.DEDUP
         first, sent_us = seen.first_run
-        assert self.stand.now_us <= sent_us + seen.profile.key_ttl_us
+        assert self.harness.now_us <= sent_us + seen.profile.key_ttl_us
         if seen.profile.key_scope is KeyScope.ZONE:
             assert entry.zone == first.zone
         if seen.profile.key_scope is KeyScope.CELL:
@@ -119,9 +123,9 @@
 
     def step(self) -> None:
         pick = self.draw.draw
-        self.stand.now_us += pick(st.sampled_from([0, 1_000, 50_000, 400_000]))
+        self.harness.now_us += pick(st.sampled_from([0, 1_000, 50_000, 400_000]))
         out = [(name, seen) for name, seen in self.requests.items() if seen.out]
-        overdue = [item for item in out if item[1].attempts[-1].deadline_us <= self.stand.now_us]
+        overdue = [item for item in out if item[1].attempts[-1].deadline_us <= self.harness.now_us]
         if overdue:
             self.finish(*overdue[0], AttemptStatus.EXPIRED)
             return
@@ -131,7 +135,7 @@
             request = f"{len(self.requests):016x}"
             profile = pick(st.integers(0, len(PROFILES) - 1))
             left_us = pick(st.integers(1, SECOND))
-            self.requests[request] = Seen(PROFILES[profile], self.stand.now_us + left_us)
+            self.requests[request] = Seen(PROFILES[profile], self.harness.now_us + left_us)
             asked = Request(
                 request,
                 profile,
@@ -141,7 +145,7 @@
                 hint_us=pick(st.none() | st.integers(-5, 10**15)),
                 hint_valid=pick(st.booleans()),
             )
-            self.check(self.stand.event(asked))
+            self.check(self.harness.handle(asked))
         elif kind == "end" and out:
             name, seen = pick(st.sampled_from(out))
             self.finish(
@@ -151,39 +155,39 @@
             name, seen = pick(st.sampled_from(out))
             seen.out, seen.standing = False, True
             attempt = len(seen.attempts) - 1
-            self.check(self.stand.event(AttemptEstablished(name, attempt, seen.attempts[-1].server, 5)))
+            self.check(self.harness.handle(AttemptEstablished(name, attempt, seen.attempts[-1].server, 5)))
         elif kind == "probe":
             status = pick(st.sampled_from([AttemptStatus.DELIVERED, AttemptStatus.DELIVERED, AttemptStatus.EXPIRED]))
             row = (pick(NUMBER | st.none()), pick(NUMBER | st.none()))
-            self.check(self.stand.event(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
+            self.check(self.harness.handle(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
         elif kind == "note":
             standing = [name for name, seen in self.requests.items() if seen.standing and not seen.over]
             if standing:
                 name = pick(st.sampled_from(standing))
                 server = self.requests[name].attempts[-1].server
                 value = pick(NUMBER | st.floats(50, 5000))
-                self.check(self.stand.event(SessionMetric(name, 0, server, SessionMetricKind.DELAY, value)))
+                self.check(self.harness.handle(SessionMetric(name, 0, server, SessionMetricKind.DELAY, value)))
         elif kind == "list":
             self.change_list()
         elif kind == "period":
-            self.check(self.stand.period(0))
+            self.check(self.harness.advance_period(0))
         elif kind == "gone" and out:
             name, seen = pick(st.sampled_from(out))
             seen.over = True
-            self.check(self.stand.event(ClientDisconnected(name)))
+            self.check(self.harness.handle(ClientDisconnected(name)))
 
     def change_list(self) -> None:
         name = self.draw.draw(st.sampled_from(SERVERS))
         lifecycle = self.draw.draw(st.sampled_from(list(Lifecycle)))
-        started_us = self.draw.draw(st.sampled_from([0, self.stand.now_us]))
+        started_us = self.draw.draw(st.sampled_from([0, self.harness.now_us]))
         old = self.entries[name]
         entry = Endpoint(name, lifecycle, old.zone, old.cell, started_us=started_us)
         self.entries[name] = entry
         if lifecycle is Lifecycle.ACTIVE:
             self.down_us.pop(name, None)
         else:
-            self.down_us.setdefault(name, self.stand.now_us)
-        self.check(self.stand.servers(entry, kind=EndpointUpdateKind.DELTA))
+            self.down_us.setdefault(name, self.harness.now_us)
+        self.check(self.harness.update_endpoints(entry, kind=EndpointUpdateKind.DELTA))
 
     def finish(self, name: str, seen: Seen, status: AttemptStatus) -> None:
         sent = seen.attempts[-1]
@@ -193,17 +197,17 @@
             seen.first_run = (old, self.sent_us(sent, seen))
         final = seen.over
         attempt = len(seen.attempts) - 1
-        self.check(self.stand.event(AttemptOutcome(name, attempt, sent.server, status, 5, final)))
+        self.check(self.harness.handle(AttemptOutcome(name, attempt, sent.server, status, 5, final)))
 
     def sent_us(self, sent: Send, seen: Seen) -> int:
         # The latest time at which it can have been sent is what the window is checked against.
-        return min(sent.deadline_us, self.stand.now_us, seen.deadline_us)
+        return min(sent.deadline_us, self.harness.now_us, seen.deadline_us)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(st.data())
 def test_rules_hold_in_any_legal_history(data: st.DataObject) -> None:
     world = World(data)
-    assert world.stand.now_us == T0
+    assert world.harness.now_us == T0
     for _ in range(data.draw(st.integers(5, 60))):
         world.step()
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -15,7 +15,7 @@
 from stoatgw.decisions.state.server_state import ServerState
 from stoatgw.rebalance import FleetSnapshot, Planner, RebalanceLimits, ServerSnapshot, SessionSnapshot
 from stoatgw.rebalance.rebalancer import Rebalancer
-from tests.fleet import Stand
+from tests.fleet import BalancerHarness
 from tests.fleet import settings as plain
 
 LIMITS = RebalanceLimits(enabled=True, part=0.9, rate=0.5, per_server=3, under_way=8)
@@ -163,12 +163,12 @@
 
 
 def test_the_module_tells_its_beliefs_and_moves_once() -> None:
-    stand = Stand()
-    stand.fleet(a=0, b=1)
+    stand = BalancerHarness()
+    stand.list_servers(a=0, b=1)
     stand.report("a", 0.5, 10)
-    stand.ask(request="f" * 16)
+    stand.request(request_id="f" * 16)
     assert stand.balancer.estimates(stand.now_us)[0].own_sessions == ()
-    stand.begin("f" * 16, "a")
+    stand.establish("f" * 16, "a")
     told = {each.server: each for each in stand.balancer.estimates(stand.now_us)}
     assert [asked.request_id for asked in told["a"].own_sessions] == ["f" * 16] and told["a"].load == pytest.approx(
         0.55
@@ -179,8 +179,8 @@
 
 def test_a_decision_looks_at_each_server_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Listed twice, servers used up the places of others that should have been compared."""
-    stand, seen = Stand(), list[str]()
-    stand.fleet(**{f"s{number}": 0 for number in range(7)})
+    stand, seen = BalancerHarness(), list[str]()
+    stand.list_servers(**{f"s{number}": 0 for number in range(7)})
     for number in range(7):
         stand.report(f"s{number}", 0.7, 10)
     expected_load = stand.context.estimator.expected_load
@@ -192,7 +192,7 @@
     monkeypatch.setattr(stand.context.estimator, "expected_load", look)
     for _ in range(20):
         seen.clear()
-        stand.ask()
+        stand.request()
         assert sorted(seen) == sorted(set(seen)) and len(seen) == 7
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,44 +26,44 @@
 from stoatgw.decisions.state.load_estimator import LoadEstimator
 from stoatgw.decisions.state.server_state import ServerState
 from stoatgw.decisions.state.slow_start import SETUP_US
-from tests.fleet import SECOND, T0, Stand, settings
+from tests.fleet import SECOND, T0, BalancerHarness, settings
 
 
-def large(rank: int = 0, balancers: int = 200, servers: int = 90, **changes: object) -> Stand:
-    stand = Stand(settings(balancers=balancers, rank=rank, **changes), seed=rank)
-    stand.servers(*(Endpoint(f"s{index}", zone=index % 3) for index in range(servers)))
-    return stand
+def large(rank: int = 0, balancers: int = 200, servers: int = 90, **changes: object) -> BalancerHarness:
+    harness = BalancerHarness(settings(balancers=balancers, rank=rank, **changes), seed=rank)
+    harness.update_endpoints(*(Endpoint(f"s{index}", zone=index % 3) for index in range(servers)))
+    return harness
 
 
 def test_probes_follow_the_clients_and_the_price_not_the_fleet() -> None:
     # Guards against balancers x servers probes a second: 0.5 of the service on a fleet of 235 x 81.
-    stand = large(probe_price=0.002)
-    probes = len(stand.of(CheckHealth))
+    harness = large(probe_price=0.002)
+    probes = len(harness.actions_of(CheckHealth))
     for _ in range(60):
         for _ in range(2):
-            stand.ask()
-        stand.period()
-        probes += len(stand.of(CheckHealth))
+            harness.request()
+        harness.advance_period()
+        probes += len(harness.actions_of(CheckHealth))
     assert 60 <= probes <= 60 * 2 * 6  # 0.01 / 0.002 for each client, and a few at the start
 
 
 def test_probes_go_round_the_whole_fleet() -> None:
-    stand = large(probe_price=0.002, servers=30)
-    seen = Counter(probe.server for probe in stand.of(CheckHealth))
+    harness = large(probe_price=0.002, servers=30)
+    seen = Counter(probe.server for probe in harness.actions_of(CheckHealth))
     for _ in range(100):
-        stand.ask()
-        stand.period()
-        seen.update(probe.server for probe in stand.of(CheckHealth))
+        harness.request()
+        harness.advance_period()
+        seen.update(probe.server for probe in harness.actions_of(CheckHealth))
     assert len(seen) == 30
     assert min(seen.values()) >= 2
 
 
 def test_a_fleet_without_clients_is_probed_little() -> None:
-    stand = large(probe_price=0.002)
+    harness = large(probe_price=0.002)
     count = 0
     for _ in range(40):
-        stand.period()
-        count += len(stand.of(CheckHealth))
+        harness.advance_period()
+        count += len(harness.actions_of(CheckHealth))
     assert 2 <= count <= 20
 
 
@@ -78,43 +78,45 @@
         looked += 1
         return expected_load(estimator, server, added_units, now_us)
 
-    stand = large(servers=servers)
+    harness = large(servers=servers)
     for index in range(servers):
-        stand.report(f"s{index}", 0.99, 50)
+        harness.report(f"s{index}", 0.99, 50)
     monkeypatch.setattr(LoadEstimator, "expected_load", counted)
-    stand.ask()
-    assert stand.of(Reject)
+    harness.request()
+    assert harness.actions_of(Reject)
     assert 0 < looked <= 24
 
 
 def test_the_live_weight_tells_n_where_no_report_does() -> None:
-    stand = Stand(settings(live_weights=True))
+    harness = BalancerHarness(settings(live_weights=True))
     entries = [Endpoint(name, weight=0.1) for name in ("a", "b", "c")]
-    stand.servers(*entries)
-    stand.report("a", 0.40, 40)
-    stand.report("b", 0.40, 40)
-    stand.report("c", 0.40, 40)
-    stand.now_us += 10 * SECOND
+    harness.update_endpoints(*entries)
+    harness.report("a", 0.40, 40)
+    harness.report("b", 0.40, 40)
+    harness.report("c", 0.40, 40)
+    harness.now_us += 10 * SECOND
     # Half the weight: twice the connections. c has emptied meanwhile.
     weights = {"a": 0.05, "b": 0.05, "c": 0.4}
-    stand.servers(*(Endpoint(name, weight=weight) for name, weight in weights.items()), kind=EndpointUpdateKind.DELTA)
+    harness.update_endpoints(
+        *(Endpoint(name, weight=weight) for name, weight in weights.items()), kind=EndpointUpdateKind.DELTA
+    )
     for _ in range(10):
-        stand.ask()
-        assert stand.sent_to() == "c"
+        harness.request()
+        assert harness.sent_to() == "c"
 
 
 @pytest.mark.parametrize("weight", [0.0, -1.0, float("nan"), float("inf"), 1e-300])
 def test_weights_beyond_belief_neither_draw_nor_crash(weight: float) -> None:
-    stand = Stand(settings(live_weights=True))
-    stand.servers(Endpoint("a", weight=0.1), Endpoint("b", weight=0.1))
-    stand.report("a", 0.40, 40)
-    stand.report("b", 0.40, 40)
-    stand.now_us += 10 * SECOND
-    stand.servers(Endpoint("a", weight=weight), kind=EndpointUpdateKind.DELTA)
+    harness = BalancerHarness(settings(live_weights=True))
+    harness.update_endpoints(Endpoint("a", weight=0.1), Endpoint("b", weight=0.1))
+    harness.report("a", 0.40, 40)
+    harness.report("b", 0.40, 40)
+    harness.now_us += 10 * SECOND
+    harness.update_endpoints(Endpoint("a", weight=weight), kind=EndpointUpdateKind.DELTA)
     sent = Counter()  # type: Counter[str | None]
     for _ in range(20):
-        stand.ask()
-        sent[stand.sent_to()] += 1
+        harness.request()
+        sent[harness.sent_to()] += 1
     assert sent["b"] >= 5
 
 
@@ -122,11 +124,11 @@
     # Guards against all balancers sending to the one server that their late picture shows lowest.
     sent = Counter()  # type: Counter[str | None]
     for rank in range(60):
-        stand = large(rank=rank, balancers=60, servers=30)
+        harness = large(rank=rank, balancers=60, servers=30)
         for index in range(30):
-            stand.report(f"s{index}", 0.30 + 0.001 * index, 30)
-        stand.ask()
-        sent[stand.sent_to()] += 1
+            harness.report(f"s{index}", 0.30 + 0.001 * index, 30)
+        harness.request()
+        sent[harness.sent_to()] += 1
     assert max(sent.values()) <= 15
 
 
@@ -134,39 +136,39 @@
     # Guards against a storm of moves: one connection each at least was every connection there was.
     moves = 0
     for rank in range(200):
-        stand = Stand(settings(balancers=200, rank=rank), seed=rank)
-        stand.fleet(a=0, b=0)
-        stand.report("a", 0.10, 10)
-        stand.report("b", 0.50, 40)
-        stand.ask(request="1" * 16)
-        assert stand.sent_to() == "a"
-        stand.begin("1" * 16, "a")
-        stand.report("b", 0.05, 10)
-        stand.late("1" * 16, "a", 60.0)
-        moves += len(stand.of(Migrate))
+        harness = BalancerHarness(settings(balancers=200, rank=rank), seed=rank)
+        harness.list_servers(a=0, b=0)
+        harness.report("a", 0.10, 10)
+        harness.report("b", 0.50, 40)
+        harness.request(request_id="1" * 16)
+        assert harness.sent_to() == "a"
+        harness.establish("1" * 16, "a")
+        harness.report("b", 0.05, 10)
+        harness.report_latency("1" * 16, "a", 60.0)
+        moves += len(harness.actions_of(Migrate))
     assert 5 <= moves <= 45
 
 
 def test_those_that_a_drain_sends_away_are_expected_from_peers_too() -> None:
     # Guards against 50 more on every server in a deploy: sent away and placed anew cancelled out.
     def admitted(status: AttemptStatus) -> int:
-        stand = Stand(settings(balancers=10))
-        stand.servers(Endpoint("a"), Endpoint("old"))
-        stand.report("a", 0.40, 20)
-        stand.report("old", 0.10, 20)
+        harness = BalancerHarness(settings(balancers=10))
+        harness.update_endpoints(Endpoint("a"), Endpoint("old"))
+        harness.report("a", 0.40, 20)
+        harness.report("old", 0.10, 20)
         for index in range(20):
-            stand.ask(request=f"e{index:015x}")
-            stand.begin(f"e{index:015x}", str(stand.sent_to()))
-        stand.period(3)
-        stand.period(3)
-        stand.servers(Endpoint("old", Lifecycle.DRAINING), kind=EndpointUpdateKind.DELTA)
-        stand.report("a", 0.40, 20)
+            harness.request(request_id=f"e{index:015x}")
+            harness.establish(f"e{index:015x}", str(harness.sent_to()))
+        harness.advance_period(3)
+        harness.advance_period(3)
+        harness.update_endpoints(Endpoint("old", Lifecycle.DRAINING), kind=EndpointUpdateKind.DELTA)
+        harness.report("a", 0.40, 20)
         for index in range(20):
-            stand.ended(f"e{index:015x}", "old", status, final=True)
+            harness.end_attempt(f"e{index:015x}", "old", status, is_final=True)
         count = 0
-        while not stand.of(Reject) and count < 100:
-            stand.ask()
-            count += stand.sent_to() is not None
+        while not harness.actions_of(Reject) and count < 100:
+            harness.request()
+            count += harness.sent_to() is not None
         return count
 
     assert admitted(AttemptStatus.REVOKED) < admitted(AttemptStatus.DELIVERED)
@@ -174,23 +176,23 @@
 
 def sends_to_young(balancers: int, seconds: int, each_s: float, **changes: object) -> list[tuple[int, float]]:
     """All balancers together fill a server that just started, one after the other in small steps."""
-    stands = []
+    harnesses = []
     for rank in range(balancers):
-        stand = Stand(settings(balancers=balancers, rank=rank, **changes), seed=rank)
-        stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
-        stand.report("old", 1.0, 50)  # r = 0.02: a full server holds 50 connections
-        stands.append(stand)
+        harness = BalancerHarness(settings(balancers=balancers, rank=rank, **changes), seed=rank)
+        harness.update_endpoints(Endpoint("old"), Endpoint("young", started_us=T0))
+        harness.report("old", 1.0, 50)  # r = 0.02: a full server holds 50 connections
+        harnesses.append(harness)
     sends = []
     steps = int(seconds * each_s)
     for step in range(steps):
-        for rank, stand in enumerate(stands):
-            stand.now_us = T0 + int((step + rank / balancers) * SECOND / each_s)
+        for rank, harness in enumerate(harnesses):
+            harness.now_us = T0 + int((step + rank / balancers) * SECOND / each_s)
             if step and step % int(max(1, each_s)) == 0:
-                stand.period(0)
-                stand.report("old", 1.0, 50)
-            stand.ask()
-            if stand.sent_to() == "young":
-                sends.append((stand.now_us, 1.0))
+                harness.advance_period(0)
+                harness.report("old", 1.0, 50)
+            harness.request()
+            if harness.sent_to() == "young":
+                sends.append((harness.now_us, 1.0))
     return sorted(sends)
 
 
@@ -223,13 +225,13 @@
     # Every proxy has had no request for long, then all have many within one second.
     sent = 0
     for rank in range(40):
-        stand = Stand(settings(balancers=40, rank=rank), seed=rank)
-        stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
-        stand.report("old", 1.0, 50)
-        stand.now_us = T0 + 8 * SECOND
+        harness = BalancerHarness(settings(balancers=40, rank=rank), seed=rank)
+        harness.update_endpoints(Endpoint("old"), Endpoint("young", started_us=T0))
+        harness.report("old", 1.0, 50)
+        harness.now_us = T0 + 8 * SECOND
         for _ in range(10):
-            stand.ask()
-            sent += stand.sent_to() == "young"
+            harness.request()
+            sent += harness.sent_to() == "young"
     assert 10 <= sent <= 40  # one each at most, however many ask
 
 
@@ -245,156 +247,157 @@
 
 def test_a_heavy_connection_is_sent_to_a_server_that_is_warm_enough() -> None:
     # Guards against heavy connections, most of the worth there, kept from new servers for good.
-    stand = Stand(settings(balancers=3))
-    stand.servers(Endpoint("old"), Endpoint("young", started_us=T0))
-    stand.report("old", 1.0, 60)
-    young = stand.server("young")
+    harness = BalancerHarness(settings(balancers=3))
+    harness.update_endpoints(Endpoint("old"), Endpoint("young", started_us=T0))
+    harness.report("old", 1.0, 60)
+    young = harness.server("young")
     room = []
     for step in range(1, 100):
-        stand.now_us = T0 + step * SECOND // 10
-        stand.period(0)
-        heavy = ConnectionState(Request("heavy", request_class=0, time_left_us=SECOND), stand.now_us + SECOND, 4.0)
-        room.append(stand.context.has_slow_start_capacity(young, heavy))
+        harness.now_us = T0 + step * SECOND // 10
+        harness.advance_period(0)
+        heavy = ConnectionState(Request("heavy", request_class=0, time_left_us=SECOND), harness.now_us + SECOND, 4.0)
+        room.append(harness.context.has_slow_start_capacity(young, heavy))
     assert any(room)
     assert not any(room[:5])  # cold as it is at first, it would be pushed over
 
 
 def test_lists_that_grow_and_shrink_tenfold_at_once() -> None:
-    stand = large(servers=20)
+    harness = large(servers=20)
     for index in range(20):
-        stand.report(f"s{index}", 0.30, 30)
-    stand.servers(*(Endpoint(f"s{index}", zone=index % 3) for index in range(200)))
-    stand.ask()
-    assert stand.of(Send)
-    stand.servers(*(Endpoint(f"s{index}", zone=index % 3) for index in range(2)))
-    stand.period()
-    stand.period()  # what peers may have placed is shown by now
-    stand.ask()
-    assert stand.sent_to() in ("s0", "s1")
-    stand.servers()
-    stand.ask()
-    assert stand.of(Reject)
-    stand.servers(Endpoint("s1"))
-    stand.period()
-    stand.period()
-    stand.ask()
-    assert stand.sent_to() == "s1"
+        harness.report(f"s{index}", 0.30, 30)
+    harness.update_endpoints(*(Endpoint(f"s{index}", zone=index % 3) for index in range(200)))
+    harness.request()
+    assert harness.actions_of(Send)
+    harness.update_endpoints(*(Endpoint(f"s{index}", zone=index % 3) for index in range(2)))
+    harness.advance_period()
+    harness.advance_period()  # what peers may have placed is shown by now
+    harness.request()
+    assert harness.sent_to() in ("s0", "s1")
+    harness.update_endpoints()
+    harness.request()
+    assert harness.actions_of(Reject)
+    harness.update_endpoints(Endpoint("s1"))
+    harness.advance_period()
+    harness.advance_period()
+    harness.request()
+    assert harness.sent_to() == "s1"
 
 
 @pytest.mark.parametrize(("balancers", "rank"), [(1, 500), (3, 3), (250, 10**6)])
 def test_a_rank_beyond_the_count_still_serves(balancers: int, rank: int) -> None:
-    stand = Stand(settings(balancers=balancers, rank=rank))
-    stand.servers(Endpoint("a"), Endpoint("b", started_us=T0))
-    stand.report("a", 0.30, 30)
-    stand.ask()
-    assert stand.of(Send)
+    harness = BalancerHarness(settings(balancers=balancers, rank=rank))
+    harness.update_endpoints(Endpoint("a"), Endpoint("b", started_us=T0))
+    harness.report("a", 0.30, 30)
+    harness.request()
+    assert harness.actions_of(Send)
 
 
 def test_few_failures_narrow_the_set_ups_of_a_balancer_with_few_clients() -> None:
     # Guards against a slow store met by 4 set-ups each of 211 balancers: 73% of the attempts failed.
-    stand = large(balancers=200)
+    harness = large(balancers=200)
     for index in range(90):
-        stand.report(f"s{index}", 0.20, 20)
+        harness.report(f"s{index}", 0.20, 20)
     for index in range(2):
         request = f"{index:016x}"
-        stand.ask(request=request)
-        stand.ended(request, str(stand.sent_to()), AttemptStatus.EXPIRED)
-        stand.ended(request, str(stand.sent_to()), AttemptStatus.EXPIRED, attempt=1)
+        harness.request(request_id=request)
+        harness.end_attempt(request, str(harness.sent_to()), AttemptStatus.EXPIRED)
+        harness.end_attempt(request, str(harness.sent_to()), AttemptStatus.EXPIRED, attempt=1)
     sent = 0
     for _ in range(10):
-        stand.ask()
-        sent += stand.sent_to() is not None
+        harness.request()
+        sent += harness.sent_to() is not None
     assert sent == 2
 
 
 def test_a_server_that_sends_its_clients_away_gets_none_before_the_list_says_so() -> None:
     # Guards against clients of a drained server sent back to it for the seconds that the list is late.
-    stand = Stand()
-    stand.fleet(a=0, b=0, c=0)
-    stand.report("a", 0.10, 10)
-    stand.report("b", 0.30, 20)
-    stand.report("c", 0.30, 20)
+    harness = BalancerHarness()
+    harness.list_servers(a=0, b=0, c=0)
+    harness.report("a", 0.10, 10)
+    harness.report("b", 0.30, 20)
+    harness.report("c", 0.30, 20)
     for index in range(3):
-        stand.ask(request=f"{index:016x}")
-        assert stand.sent_to() == "a"
-        stand.begin(f"{index:016x}", "a")
-    stand.ended("0" * 16, "a", AttemptStatus.REVOKED, final=True)
+        harness.request(request_id=f"{index:016x}")
+        assert harness.sent_to() == "a"
+        harness.establish(f"{index:016x}", "a")
+    harness.end_attempt("0" * 16, "a", AttemptStatus.REVOKED, is_final=True)
     for _ in range(6):
-        stand.ask()
-        assert stand.sent_to() in ("b", "c")
-    stand.period(5)
-    stand.ask()
-    assert stand.sent_to() == "a"  # the list never said that it drains
+        harness.request()
+        assert harness.sent_to() in ("b", "c")
+    harness.advance_period(5)
+    harness.request()
+    assert harness.sent_to() == "a"  # the list never said that it drains
 
 
-def told_long_ago() -> Stand:
+def told_long_ago() -> BalancerHarness:
     """One of 200 balancers that heard of every server while all were empty, and of none since."""
-    stand = large(servers=30)
+    harness = large(servers=30)
     for index in range(30):
-        stand.report(f"s{index}", 0.0, 0)
-    stand.period(5)
+        harness.report(f"s{index}", 0.0, 0)
+    harness.advance_period(5)
     for index in range(30):  # what they say when they are asked: those of odd number are full
         full = index % 2 == 1
-        stand.told[f"s{index}"] = HealthCheckResult(
+        harness.health_check_results[f"s{index}"] = HealthCheckResult(
             f"s{index}", AttemptStatus.DELIVERED, 1_000, (0.95 if full else 0.3, 40.0)
         )
-    return stand
+    return harness
 
 
 def test_a_client_is_placed_by_what_its_own_probes_tell_not_by_reports_of_long_ago() -> None:
     # Guards against 380 clients put in a second on servers that were empty when they were last heard of, 11 s before.
-    stand = told_long_ago()
+    harness = told_long_ago()
     for _ in range(12):
-        stand.ask()
-        server = stand.sent_to()
+        harness.request()
+        server = harness.sent_to()
         assert server is None or int(server[1:]) % 2 == 0
-        assert len(stand.of(CheckHealth)) <= 4
-        stand.now_us += 3 * SECOND
-        stand.period(0)
+        assert len(harness.actions_of(CheckHealth)) <= 4
+        harness.now_us += 3 * SECOND
+        harness.advance_period(0)
 
 
 def test_a_client_waits_for_silent_servers_a_tenth_of_a_second_at_most() -> None:
-    stand = told_long_ago()
-    actions = stand.event(Request("a" * 16, 0, 2 * SECOND))
-    assert not stand.of(Send)
-    timer = stand.of(SetTimer)[0]
-    assert timer.at_us - stand.now_us == 100_000
+    harness = told_long_ago()
+    actions = harness.handle(Request("a" * 16, 0, 2 * SECOND))
+    assert not harness.actions_of(Send)
+    timer = harness.actions_of(SetTimer)[0]
+    assert timer.at_us - harness.now_us == 100_000
     for _ in range(2):  # nobody answers, nor in the second round: what was told before has to do
-        stand.now_us = timer.at_us
-        actions = stand.event(TimerExpired(timer.token))
-        timer = stand.of(SetTimer)[0] if stand.of(SetTimer) else timer
-    assert stand.of(Send) and actions
-    assert stand.event(TimerExpired(timer.token)) == []  # a timer of a wait that is over does nothing
+        harness.now_us = timer.at_us
+        actions = harness.handle(TimerExpired(timer.token))
+        timer = harness.actions_of(SetTimer)[0] if harness.actions_of(SetTimer) else timer
+    assert harness.actions_of(Send)
+    assert actions
+    assert harness.handle(TimerExpired(timer.token)) == []  # a timer of a wait that is over does nothing
 
 
 def test_a_client_that_leaves_while_it_waits_is_forgotten() -> None:
-    stand = told_long_ago()
-    stand.event(Request("a" * 16, 0, 2 * SECOND))
-    probes = stand.of(CheckHealth)
-    stand.event(ClientDisconnected("a" * 16))
-    assert not stand.context.connections
+    harness = told_long_ago()
+    harness.handle(Request("a" * 16, 0, 2 * SECOND))
+    probes = harness.actions_of(CheckHealth)
+    harness.handle(ClientDisconnected("a" * 16))
+    assert not harness.context.connections
     for probe in probes:
-        stand.event(stand.told[probe.server])
-        assert not stand.of(Send)
+        harness.handle(harness.health_check_results[probe.server])
+        assert not harness.actions_of(Send)
 
 
 def test_clients_cut_off_are_awaited_at_the_servers_that_are_left() -> None:
     # Guards against 17 servers' clients put on the 24 that were left within half a second: n went from 26 to 38.
-    stand = large(servers=24)
+    harness = large(servers=24)
     for index in range(24):
-        stand.report(f"s{index}", 0.55, 26)
+        harness.report(f"s{index}", 0.55, 26)
     stood = []
     for index in range(3):
-        stand.ask(request=f"{index:016x}")
-        stood.append((f"{index:016x}", str(stand.sent_to())))
-        stand.begin(*stood[-1])
-    stand.period(2)
-    stand.period(2)  # they were placed too long ago to count as news
+        harness.request(request_id=f"{index:016x}")
+        stood.append((f"{index:016x}", str(harness.sent_to())))
+        harness.establish(*stood[-1])
+    harness.advance_period(2)
+    harness.advance_period(2)  # they were placed too long ago to count as news
     for index in range(24):
-        stand.report(f"s{index}", 0.55, 26)
-    stand.ask()
-    assert stand.of(Send)
+        harness.report(f"s{index}", 0.55, 26)
+    harness.request()
+    assert harness.actions_of(Send)
     for request, server in stood:
-        stand.ended(request, server, AttemptStatus.DROPPED, final=True)
-    stand.ask()
-    assert stand.of(Reject)
+        harness.end_attempt(request, server, AttemptStatus.DROPPED, is_final=True)
+    harness.request()
+    assert harness.actions_of(Reject)
