--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -23,7 +23,7 @@
 from tests.fleet import SECOND, T0, BalancerHarness, draining, settings
 
 
-def test_lowest_pressure_in_the_own_zone_wins() -> None:
+def test_lowest_expected_load_in_the_local_zone_wins() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.50, 50)  # r = 0.010, r * (n + 1) = 0.51
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize(("count", "admitted"), [(31, True), (32, False)])
-def test_low_worth_meets_a_tighter_margin(count: int, admitted: bool) -> None:
+def test_low_priority_weight_meets_a_tighter_margin(count: int, admitted: bool) -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0)
     # Worth 1 of 5: margin 0.8 * (1 - 0.4 * 0.5) = 0.64, so r * (n + 1) = 0.02 * 33 does not pass.
@@ -65,7 +65,7 @@
     assert harness.sent_to() == "a"
 
 
-def test_beyond_its_share_a_tenant_is_refused_first() -> None:
+def test_beyond_its_quota_a_tenant_is_rejected_first() -> None:
     harness = BalancerHarness(settings(tenant_quota_connections=(2.0, 100.0), over_share_worth=0.1))
     harness.list_servers(a=0)
     harness.report("a", 0.60, 30)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("held", "admitted"), [(3, True), (12, False)])
-def test_a_share_is_divided_by_who_holds_what_not_evenly(held: int, admitted: bool) -> None:
+def test_a_quota_is_divided_by_connections_held_not_evenly(held: int, admitted: bool) -> None:
     # Guards against a proxy whose peer is away: it holds all, and took most of it for beyond the tenants' shares.
     harness = BalancerHarness(settings(balancers=2, tenant_quota_connections=(5.0, 100.0), over_share_worth=0.1))
     harness.list_servers(a=0)
@@ -88,12 +88,12 @@
     harness.report("a", 0.02 * held, held)  # ours are all, or a quarter, of what is there
     harness.handle(TimerExpired(0))
     harness.now_us += SECOND
-    harness.report("a", 0.66, 33)  # with one more 0.68: under the margin, over that of low worth
+    harness.report("a", 0.66, 33)  # with one more 0.68: under the margin, over that of a low priority weight
     harness.request(tenant=0)
     assert (harness.sent_to() == "a") is admitted
 
 
-def test_own_zone_up_to_the_spill_load_then_across_then_refuse() -> None:
+def test_local_zone_up_to_the_spill_load_then_remote_then_reject() -> None:
     harness = BalancerHarness()
     harness.list_servers(near=0, far=1)
     harness.report("near", 0.56, 28)
@@ -110,7 +110,7 @@
     assert harness.sent_to() is None
 
 
-def test_without_any_sample_the_own_zone_server_with_fewest_connections() -> None:
+def test_without_any_sample_the_local_server_with_fewest_connections_wins() -> None:
     harness = BalancerHarness(settings(can_probe=False, report_columns=()))
     harness.list_servers(a=0, b=0, c=1)
     seen = []
@@ -120,15 +120,15 @@
     assert sorted(str(name) for name in seen) == ["a", "a", "a", "b", "b", "b"]
 
 
-def test_a_server_not_heard_from_is_the_last_choice() -> None:
+def test_a_server_that_never_reported_is_the_last_choice() -> None:
     harness = BalancerHarness()
-    harness.list_servers(a=0, b=0, silent=0)
+    harness.list_servers(a=0, b=0, unreported=0)
     harness.report("a", 0.50, 25)
     harness.request()
     assert harness.sent_to() == "a"
     harness.report("a", 0.80, 40)
-    harness.request()  # a no longer passes; the fleet's mean r = 0.02 replaces that of the silent ones
-    assert harness.sent_to() in ("b", "silent")
+    harness.request()  # a no longer passes; the fleet's mean r = 0.02 replaces that of the unreported ones
+    assert harness.sent_to() in ("b", "unreported")
 
 
 def test_placements_count_until_a_report_can_show_them() -> None:
@@ -151,7 +151,7 @@
     assert harness.sent_to() == "a"
 
 
-def test_unshown_placements_are_expected_of_every_balancer() -> None:
+def test_unreported_placements_are_expected_of_every_balancer() -> None:
     # Guards against a warmed server filled to 1.3 by several balancers between two reports.
     harness = BalancerHarness(settings(balancers=3))
     harness.list_servers(a=0)
@@ -163,7 +163,7 @@
     assert admitted - 1 == 7  # 0.02 * (18 + 3 * 7 + 1) = 0.8
 
 
-def test_a_failed_set_up_leaves_n_at_once() -> None:
+def test_a_failed_setup_is_subtracted_from_n_at_once() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0)
     harness.report("a", 0.76, 38)
@@ -196,7 +196,7 @@
     assert harness.context.connections[f"{harness.request_count:016x}"].load_units > 1.0
 
 
-def test_a_group_goes_where_it_is_paid_for_already() -> None:
+def test_a_group_is_sent_to_the_server_that_holds_it() -> None:
     harness = BalancerHarness(settings(groups=True))
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.40, 20)
@@ -207,7 +207,7 @@
     assert harness.sent_to() == first
 
 
-def test_a_late_message_closes_a_server_at_once() -> None:
+def test_a_late_message_stops_admission_to_its_server_at_once() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.20, 10)
@@ -219,11 +219,11 @@
     harness.request()
     assert harness.sent_to() == "b"
     harness.now_us += 2 * SECOND
-    harness.request()  # no further note: the delay is over
+    harness.request()  # no further latency: the last one is too old
     assert harness.sent_to() == "a"
 
 
-def test_relief_moves_a_few_off_a_server_with_late_messages() -> None:
+def test_a_few_sessions_migrate_off_a_server_with_late_messages() -> None:
     # Guards against hundreds of connections kept to the end on a hung or overfull server.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
@@ -238,10 +238,12 @@
     harness.report("b", 0.10, 10)
     harness.report_latency("0" * 16, "a", 400.0)
     assert len(harness.actions_of(Migrate)) in (1, 2)
-    assert {int(move.request_id, 16) % 2 for move in harness.actions_of(Migrate)} == {1}  # worth least per work
+    assert {int(action.request_id, 16) % 2 for action in harness.actions_of(Migrate)} == {
+        1
+    }  # lowest priority weight first
 
 
-def test_relief_leaves_all_alone_where_nobody_has_room() -> None:
+def test_no_session_migrates_where_no_other_server_has_capacity() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.30, 30)
@@ -251,15 +253,15 @@
     harness.report("b", 0.90, 45)
     harness.report_latency("1" * 16, "a", 400.0)
     assert not harness.actions_of(Migrate)
-    harness.report("a", 1.40, 30)  # over the margin: those worth least leave even so
-    moves = 0
+    harness.report("a", 1.40, 30)  # over the margin: those of low priority weight migrate even so
+    migrations = 0
     for _ in range(60):  # a tenth of one connection: left to chance
         harness.report_latency("1" * 16, "a", 400.0)
-        moves += len(harness.actions_of(Migrate))
-    assert moves == 1
+        migrations += len(harness.actions_of(Migrate))
+    assert migrations == 1
 
 
-def test_estimates_do_not_stay_poisoned() -> None:
+def test_estimates_recover_from_outliers() -> None:
     # Guards against a server that hung, showed a huge load over one connection, and was shunned.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
@@ -278,8 +280,8 @@
     assert harness.sent_to() == "b"
 
 
-def test_a_jam_does_not_raise_the_rate_for_the_time_after() -> None:
-    # Guards against a fleet that, relieved of an overload, refused clients at half of its capacity.
+def test_an_overload_does_not_raise_the_load_per_connection_afterwards() -> None:
+    # Guards against a fleet that, after an overload, rejected clients at half of its capacity.
     harness = BalancerHarness()
     harness.list_servers(a=0)
     for _ in range(3):
@@ -296,7 +298,7 @@
 
 @pytest.mark.parametrize("load", [float("nan"), float("inf"), -1.0, 1e300, None])
 @pytest.mark.parametrize("count", [float("nan"), float("inf"), -5.0, 1e300, None, 0.0])
-def test_reports_beyond_belief_change_nothing(load: float | None, count: float | None) -> None:
+def test_implausible_reports_change_nothing(load: float | None, count: float | None) -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     for _ in range(3):
@@ -322,7 +324,7 @@
     assert harness.sent_to() == "a"
 
 
-def test_a_server_that_fails_set_ups_is_ejected_with_backoff() -> None:
+def test_a_server_that_fails_setups_is_ejected_with_backoff() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0)
     harness.report("a", 0.10, 10)
@@ -362,8 +364,8 @@
     assert harness.sent_to() is not None
 
 
-def test_failing_set_ups_narrow_what_is_under_way() -> None:
-    # Guards against a storm: while the shared store is slow, more set-ups at once only fail more.
+def test_failing_setups_narrow_the_setup_window() -> None:
+    # Guards against a burst: while the shared store is slow, more set-ups at once only fail more.
     harness = BalancerHarness()
     names = [f"s{index}" for index in range(40)]
     harness.update_endpoints(*(Endpoint(name) for name in names))
@@ -385,10 +387,10 @@
     for index in range(200, 220):
         harness.request(request_id=f"{index:016x}")
         sent += harness.sent_to() is not None
-    assert sent == 4  # each that stood adds one
+    assert sent == 4  # each established connection adds one
 
 
-def test_second_failure_is_refused_with_advice() -> None:
+def test_second_failure_is_rejected_with_retry_after() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0)
     for name in "abc":
@@ -400,18 +402,18 @@
     assert harness.actions_of(Reject) == [Reject("1" * 16, SECOND)]
 
 
-def test_without_a_price_every_ready_server_is_probed_each_period() -> None:
+def test_without_a_price_every_ready_server_is_checked_each_period() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=1)
-    assert sorted(probe.server for probe in harness.actions_of(CheckHealth)) == ["a", "b"]
+    assert sorted(check.server for check in harness.actions_of(CheckHealth)) == ["a", "b"]
     harness.handle(HealthCheckResult("a", AttemptStatus.DELIVERED, 900, (0.1, 5.0)))
     harness.handle(HealthCheckResult("b", AttemptStatus.EXPIRED, 900))
     harness.update_endpoints(draining("b", 1), kind=EndpointUpdateKind.DELTA)
     harness.advance_period()
-    assert [probe.server for probe in harness.actions_of(CheckHealth)] == ["a"]
+    assert [check.server for check in harness.actions_of(CheckHealth)] == ["a"]
 
 
-def test_silence_of_all_probes_still_places() -> None:
+def test_requests_are_placed_while_no_health_check_is_answered() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.40, 20)
@@ -422,7 +424,7 @@
     assert harness.sent_to() == "b"
 
 
-def test_placements_under_probe_silence_do_not_grow_memory() -> None:
+def test_placements_while_no_health_check_is_answered_do_not_grow_memory() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0)
     harness.report("a", 0.01, 1)
@@ -440,14 +442,14 @@
     def picks(seed: int) -> list[str | None]:
         harness = BalancerHarness(seed=seed)
         harness.list_servers(a=0, b=0, c=0, d=0)
-        out = []
+        servers = []
         for _ in range(40):
             for name in "abcd":
                 harness.report(name, 0.20, 10)
             harness.request()
-            out.append(harness.sent_to())
+            servers.append(harness.sent_to())
             harness.now_us += 10 * SECOND
-        return out
+        return servers
 
     assert picks(1) == picks(1)
     assert picks(1) != picks(2)
@@ -461,7 +463,7 @@
     assert harness.server("a").reported_connections is None
 
 
-def test_an_empty_list_refuses() -> None:
+def test_an_empty_endpoint_list_rejects() -> None:
     harness = BalancerHarness()
     harness.handle(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 2, ()))
     harness.request()
@@ -469,7 +471,7 @@
     assert not harness.actions_of(Send)
 
 
-def test_a_reported_load_over_one_moves_some_away_but_not_beside_a_delay_note() -> None:
+def test_a_reported_load_over_one_migrates_sessions_unless_a_latency_is_known() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.5, 20)
@@ -482,7 +484,7 @@
     assert not harness.report("a", 1.4, 36)
 
 
-def test_a_storm_of_set_ups_is_spread_and_then_refused() -> None:
+def test_a_burst_of_setups_is_spread_and_then_rejected() -> None:
     # Guards against the server that looked emptiest getting 45 set-ups in a second: 25 timed out.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
@@ -498,7 +500,7 @@
     assert harness.sent_to() == "a"
 
 
-def test_a_bad_request_that_errs_everywhere_takes_no_server_out() -> None:
+def test_a_bad_request_that_errs_everywhere_ejects_no_server() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0, d=0, e=0)
     harness.report("a", 0.2, 10)
@@ -515,7 +517,7 @@
 
 
 @pytest.mark.parametrize("served_elsewhere", [True, False])
-def test_a_server_that_errs_is_left_out(served_elsewhere: bool) -> None:
+def test_a_server_that_errs_is_ejected(served_elsewhere: bool) -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0)
     harness.report("a", 0.2, 10)
@@ -549,7 +551,7 @@
 
 
 @pytest.mark.parametrize(("delay_ms", "least", "most"), [(60.0, 1, 2), (90.0, 1, 3), (6_000.0, 4, 5)])
-def test_the_later_the_messages_the_more_leave(delay_ms: float, least: int, most: int) -> None:
+def test_the_later_the_messages_the_more_sessions_migrate(delay_ms: float, least: int, most: int) -> None:
     # Guards against seconds of piled up work that a tenth at a time took ten seconds to come off.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
@@ -564,7 +566,7 @@
 
 
 def test_clients_sent_here_by_a_peers_drain_are_not_expected_of_the_peers_too() -> None:
-    # Guards against refusals at half the load while one of two proxies restarts.
+    # Guards against rejections at half the load while one of two proxies restarts.
     def admitted(returned: bool) -> int:
         harness = BalancerHarness(settings(balancers=2))
         harness.list_servers(a=0)
@@ -578,7 +580,7 @@
     assert (admitted(False), admitted(True)) == (11, 21)
 
 
-def test_a_server_never_heard_from_comes_after_all_that_pass() -> None:
+def test_a_server_that_never_reported_comes_after_all_that_pass() -> None:
     # Guards against a broken server, which looks empty, being sent each client once others are over SPILL.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
@@ -587,20 +589,20 @@
     assert harness.sent_to() == "a"
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_errors_of_a_server_never_heard_from_slow_nobody_else_down(heard: bool) -> None:
+@pytest.mark.parametrize("has_reported", [True, False])
+def test_errors_of_a_server_that_never_reported_do_not_narrow_the_setup_window(has_reported: bool) -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
-    if heard:
+    if has_reported:
         harness.report("b", 0.01, 1)
     for _ in range(2):
         harness.request()
         harness.end_attempt(f"{harness.request_count:016x}", str(harness.sent_to()), AttemptStatus.APP_ERROR)
-    assert (harness.context.counts.setup_window < 200) == heard
+    assert (harness.context.counts.setup_window < 200) == has_reported
 
 
-def test_a_refusal_asks_servers_how_they_stand() -> None:
-    # Guards against a storm being refused for a second by reports that its own drain has made untrue.
+def test_a_rejection_checks_servers() -> None:
+    # Guards against a burst being rejected for a second by reports that the drain itself has outdated.
     harness = BalancerHarness()
     harness.list_servers(a=0)
     harness.report("a", 0.9, 45)
@@ -611,35 +613,35 @@
     assert [type(action) for action in harness.actions] == [Reject, CheckHealth]
 
 
-def test_a_client_that_leaves_does_not_eject_its_server_but_a_draining_one_does() -> None:
-    """Where many clients left and came back at once, each took its server out for 4 s, and most were refused."""
-    for left, sent_to in ((True, "a"), (False, None)):
+def test_a_client_disconnect_does_not_eject_its_server_but_a_drain_does() -> None:
+    """Where many clients disconnected and came back at once, each ejected its server for 4 s; most were rejected."""
+    for has_disconnected, sent_to in ((True, "a"), (False, None)):
         harness = BalancerHarness()
         harness.list_servers(a=0)
         harness.report("a", 0.1, 10)
         harness.request(request_id="f" * 16)
         harness.establish("f" * 16, "a")
-        if left:
+        if has_disconnected:
             harness.handle(ClientDisconnected("f" * 16))
         harness.end_attempt("f" * 16, "a", AttemptStatus.REVOKED, is_final=True)
         harness.list_servers(a=0, b=0)
         harness.report("b", 0.5, 50)
         harness.request()
-        assert (harness.sent_to() == "a") == left, sent_to
+        assert (harness.sent_to() == "a") == has_disconnected, sent_to
 
 
-@pytest.mark.parametrize(("ours", "many", "chosen"), [(13, 2, "a"), (0, 2, "b"), (13, 40, "b")])
-def test_a_group_new_to_a_server_weighs_three_as_far_as_we_know(ours: int, many: int, chosen: str) -> None:
-    """At one deployment a group costs a server three mean connections, at another one; no setting tells which.
+@pytest.mark.parametrize(("own_sessions", "balancers", "chosen"), [(13, 2, "a"), (0, 2, "b"), (13, 40, "b")])
+def test_a_group_new_to_a_server_weighs_three_as_far_as_we_know(own_sessions: int, balancers: int, chosen: str) -> None:
+    """At one deployment a group costs a server three mean connections, at another one; no setting says which.
 
-    Guards against a process just started, or one of many, that takes its peers' groups for new ones and refuses.
+    Guards against a process just started, or one of many, that takes its peers' groups for new ones and rejects.
     """
-    harness = BalancerHarness(settings(groups=True, balancers=many))
+    harness = BalancerHarness(settings(groups=True, balancers=balancers))
     harness.list_servers(a=0, b=0)
-    for number in range(ours):
+    for number in range(own_sessions):
         for server, group in (("a", 7), ("b", 8)):
             harness.handle(SessionRestored(Request(f"{server}{number:015x}", 0, 0, group=group), server))
-    if not ours:
+    if not own_sessions:
         harness.handle(SessionRestored(Request("a" * 16, 0, 0, group=7), "a"))
     harness.now_us += 2 * SECOND
     harness.report("a", 0.50, 50)  # 0.51 for one more of the group, 0.05 less for the pull
@@ -648,15 +650,15 @@
     assert harness.sent_to() == chosen
 
 
-def test_low_worth_forgoes_more_only_while_higher_worth_is_refused() -> None:
-    # Guards against light connections of little worth being refused for heavy ones that nobody refuses.
+def test_low_priority_weight_forgoes_more_only_while_a_higher_one_is_rejected() -> None:
+    # Guards against light connections of low priority being rejected for heavy ones that nobody rejects.
     harness = BalancerHarness()
     harness.list_servers(a=0)
-    harness.report("a", 0.60, 60)  # 0.61 with one more; worth of a fifth passes under 0.8 - 0.16 at any time
+    harness.report("a", 0.60, 60)  # 0.61 with one more; a weight of a fifth passes under 0.8 - 0.16 at any time
     harness.request(1)
     assert harness.sent_to() == "a"
     harness.report("a", 1.20, 60)
-    harness.request(0)  # the highest worth is refused: now a fifth forgoes 0.256
+    harness.request(0)  # the highest weight is rejected: now a fifth forgoes 0.256
     assert harness.sent_to() is None
     harness.report("a", 0.60, 60)
     harness.advance_period()
@@ -672,8 +674,8 @@
     assert harness.sent_to() == "a"
 
 
-def test_a_group_new_to_a_cold_server_weighs_one() -> None:
-    # Guards against cold servers that stay empty: at a fifth of their capacity three connections are half of it.
+def test_a_group_new_to_a_server_in_slow_start_weighs_one() -> None:
+    # Guards against starting servers that stay empty: at a fifth of their capacity three connections are half of it.
     harness = BalancerHarness(settings(groups=True, balancers=1))
     harness.update_endpoints(Endpoint("a", started_us=T0 - 2 * SECOND))
     harness.now_us += SECOND
--- a/tests/test_loss.py
+++ b/tests/test_loss.py
@@ -23,7 +23,7 @@
     harness.handle(HealthCheckResult(server, status, 250_000, ()))
 
 
-def test_servers_that_are_gone_stay_out_though_they_are_most_of_the_fleet() -> None:
+def test_unresponsive_servers_stay_ejected_in_panic_mode() -> None:
     # Guards against ejection given up once four of six were gone: 60 set-ups a second went there.
     harness = two_zones()
     for name in LOST:
@@ -37,7 +37,7 @@
     assert harness.sent_to() in ("b0", "b1")
 
 
-def test_two_that_fail_put_their_zone_in_doubt_and_an_answer_ends_it() -> None:
+def test_two_failures_make_a_zone_suspected_until_it_answers() -> None:
     # Guards against each server of a lost zone being tried in turn, two connect time-outs a request.
     harness = two_zones(can_probe=False)
     fail(harness, "a0")
@@ -52,16 +52,16 @@
     assert harness.sent_to() in LOST
 
 
-def test_probes_sent_for_a_client_find_out_that_its_zone_is_lost() -> None:
+def test_health_checks_for_a_request_show_that_its_zone_is_unresponsive() -> None:
     harness = two_zones()
     for name in LOST:
         harness.health_check_results[name] = HealthCheckResult(name, AttemptStatus.DIAL_FAILED, 250_000, ())
     harness.request()
     assert harness.sent_to() in ("b0", "b1")
-    assert {probe.server for probe in harness.actions_of(CheckHealth)} & set(LOST)
+    assert {check.server for check in harness.actions_of(CheckHealth)} & set(LOST)
 
 
-def test_what_does_not_answer_is_still_tried_where_nothing_else_passes() -> None:
+def test_unresponsive_servers_are_attempted_where_no_other_passes() -> None:
     harness = two_zones()
     for name in (*LOST, "b0", "b1"):
         fail(harness, name)
@@ -77,7 +77,7 @@
     return count
 
 
-def test_a_server_back_empty_is_taken_for_cold_before_the_list_says_so() -> None:
+def test_a_server_back_empty_is_in_slow_start_before_the_list_shows_it() -> None:
     # Guards against 14 set-ups in one second at a server 0.4 s old that the list still called settled.
     harness = two_zones()
     fail(harness, "a0", AttemptStatus.DROPPED)
@@ -85,12 +85,12 @@
     harness.report("a0", 0.0, 0)
     assert harness.warm_up_fraction("a0") < 0.3
     assert admitted(harness, "a0") <= 1
-    harness.now_us += 9_000_000  # the list never told of a restart: there was none
+    harness.now_us += 9_000_000  # the list never showed a restart: there was none
     harness.advance_period(0)
     assert harness.warm_up_fraction("a0") == 1.0
 
 
-def test_a_server_that_was_cut_off_and_kept_its_connections_is_no_cold_one() -> None:
+def test_a_server_that_kept_its_connections_while_unresponsive_stays_warm() -> None:
     harness = two_zones()
     fail(harness, "a0", AttemptStatus.EXPIRED)
     harness.report("a0", 0.2, 9)
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from hypothesis import given, settings
@@ -53,12 +54,15 @@
     profile: RequestClass
     deadline_us: int
     attempts: list[Send] = field(default_factory=list)
-    out: bool = False
-    standing: bool = False
+    in_flight: bool = False
+    established: bool = False
     over: bool = False
     first_run: tuple[Endpoint, int] | None = None
 
 
+InFlight = list[tuple[str, Seen]]  # requests with an attempt in flight, by id
+
+
 class World:
     """Plays legal events and checks every action against the rules."""
 
@@ -86,29 +90,29 @@
                 seen = self.requests[action.request_id]
                 entry = self.entries[action.server]
                 assert not seen.over
-                assert not seen.out
-                assert not seen.standing
+                assert not seen.in_flight
+                assert not seen.established
                 assert now_us < action.deadline_us < seen.deadline_us
                 assert len(seen.attempts) < self.harness.context.settings.max_attempts
                 if action.server in self.down_us:
                     assert now_us <= self.down_us[action.server] + SECOND
                 self.check_repeat(seen, entry)
                 seen.attempts.append(action)
-                seen.out = True
+                seen.in_flight = True
             elif isinstance(action, Reject | Fail):
                 seen = self.requests[action.request_id]
                 assert not seen.over
-                assert not seen.out
-                assert not seen.standing
+                assert not seen.in_flight
+                assert not seen.established
                 seen.over = True
                 profile = seen.profile
                 if isinstance(action, Reject) and seen.first_run is not None:
                     assert profile.idempotency is not Idempotency.FRAGILE
                     assert profile.idempotency is Idempotency.RETRYABLE or profile.key_scope is KeyScope.ALL
             elif isinstance(action, Migrate):
-                assert self.requests[action.request_id].standing
+                assert self.requests[action.request_id].established
         for seen in self.requests.values():
-            assert seen.over or seen.out or seen.standing, "nothing is left unanswered"
+            assert seen.over or seen.in_flight or seen.established, "nothing stays unanswered"
 
     def check_repeat(self, seen: Seen, entry: Endpoint) -> None:
         if seen.first_run is None or seen.profile.idempotency is Idempotency.RETRYABLE:
@@ -124,59 +128,79 @@
     def step(self) -> None:
         pick = self.draw.draw
         self.harness.now_us += pick(st.sampled_from([0, 1_000, 50_000, 400_000]))
-        out = [(name, seen) for name, seen in self.requests.items() if seen.out]
-        overdue = [item for item in out if item[1].attempts[-1].deadline_us <= self.harness.now_us]
+        in_flight = [(name, seen) for name, seen in self.requests.items() if seen.in_flight]
+        overdue = [item for item in in_flight if item[1].attempts[-1].deadline_us <= self.harness.now_us]
         if overdue:
-            self.finish(*overdue[0], AttemptStatus.EXPIRED)
+            self.end_attempt(*overdue[0], AttemptStatus.EXPIRED)
             return
-        kinds = ["ask", "ask", "end", "begin", "probe", "note", "list", "period", "gone"]
-        kind = pick(st.sampled_from(kinds))
-        if kind == "ask":
-            request = f"{len(self.requests):016x}"
-            profile = pick(st.integers(0, len(PROFILES) - 1))
-            left_us = pick(st.integers(1, SECOND))
-            self.requests[request] = Seen(PROFILES[profile], self.harness.now_us + left_us)
-            asked = Request(
-                request,
-                profile,
-                left_us,
-                tenant=pick(st.integers(0, 2)),
-                group=pick(st.none() | st.integers(0, 3)),
-                hint_us=pick(st.none() | st.integers(-5, 10**15)),
-                hint_valid=pick(st.booleans()),
-            )
-            self.check(self.harness.handle(asked))
-        elif kind == "end" and out:
-            name, seen = pick(st.sampled_from(out))
-            self.finish(
-                name, seen, pick(st.sampled_from([s for s in AttemptStatus if s is not AttemptStatus.DELIVERED]))
-            )
-        elif kind == "begin" and out:
-            name, seen = pick(st.sampled_from(out))
-            seen.out, seen.standing = False, True
+        steps: list[Callable[[InFlight], None]] = [
+            self.request,
+            self.request,
+            self.fail_attempt,
+            self.establish,
+            self.check_health,
+            self.report_latency,
+            self.change_list,
+            self.end_period,
+            self.disconnect,
+        ]
+        pick(st.sampled_from(steps))(in_flight)
+
+    def request(self, _: InFlight) -> None:
+        pick = self.draw.draw
+        request_id = f"{len(self.requests):016x}"
+        request_class = pick(st.integers(0, len(PROFILES) - 1))
+        left_us = pick(st.integers(1, SECOND))
+        self.requests[request_id] = Seen(PROFILES[request_class], self.harness.now_us + left_us)
+        request = Request(
+            request_id,
+            request_class,
+            left_us,
+            tenant=pick(st.integers(0, 2)),
+            group=pick(st.none() | st.integers(0, 3)),
+            hint_us=pick(st.none() | st.integers(-5, 10**15)),
+            hint_valid=pick(st.booleans()),
+        )
+        self.check(self.harness.handle(request))
+
+    def fail_attempt(self, in_flight: InFlight) -> None:
+        if in_flight:
+            name, seen = self.draw.draw(st.sampled_from(in_flight))
+            failures = [status for status in AttemptStatus if status is not AttemptStatus.DELIVERED]
+            self.end_attempt(name, seen, self.draw.draw(st.sampled_from(failures)))
+
+    def establish(self, in_flight: InFlight) -> None:
+        if in_flight:
+            name, seen = self.draw.draw(st.sampled_from(in_flight))
+            seen.in_flight = False
+            seen.established = True
             attempt = len(seen.attempts) - 1
             self.check(self.harness.handle(AttemptEstablished(name, attempt, seen.attempts[-1].server, 5)))
-        elif kind == "probe":
-            status = pick(st.sampled_from([AttemptStatus.DELIVERED, AttemptStatus.DELIVERED, AttemptStatus.EXPIRED]))
-            row = (pick(NUMBER | st.none()), pick(NUMBER | st.none()))
-            self.check(self.harness.handle(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
-        elif kind == "note":
-            standing = [name for name, seen in self.requests.items() if seen.standing and not seen.over]
-            if standing:
-                name = pick(st.sampled_from(standing))
-                server = self.requests[name].attempts[-1].server
-                value = pick(NUMBER | st.floats(50, 5000))
-                self.check(self.harness.handle(SessionMetric(name, 0, server, SessionMetricKind.DELAY, value)))
-        elif kind == "list":
-            self.change_list()
-        elif kind == "period":
-            self.check(self.harness.advance_period(0))
-        elif kind == "gone" and out:
-            name, seen = pick(st.sampled_from(out))
+
+    def check_health(self, _: InFlight) -> None:
+        pick = self.draw.draw
+        status = pick(st.sampled_from([AttemptStatus.DELIVERED, AttemptStatus.DELIVERED, AttemptStatus.EXPIRED]))
+        row = (pick(NUMBER | st.none()), pick(NUMBER | st.none()))
+        self.check(self.harness.handle(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
+
+    def report_latency(self, _: InFlight) -> None:
+        established = [name for name, seen in self.requests.items() if seen.established and not seen.over]
+        if established:
+            name = self.draw.draw(st.sampled_from(established))
+            server = self.requests[name].attempts[-1].server
+            value = self.draw.draw(NUMBER | st.floats(50, 5000))
+            self.check(self.harness.handle(SessionMetric(name, 0, server, SessionMetricKind.DELAY, value)))
+
+    def end_period(self, _: InFlight) -> None:
+        self.check(self.harness.advance_period(0))
+
+    def disconnect(self, in_flight: InFlight) -> None:
+        if in_flight:
+            name, seen = self.draw.draw(st.sampled_from(in_flight))
             seen.over = True
             self.check(self.harness.handle(ClientDisconnected(name)))
 
-    def change_list(self) -> None:
+    def change_list(self, _: InFlight) -> None:
         name = self.draw.draw(st.sampled_from(SERVERS))
         lifecycle = self.draw.draw(st.sampled_from(list(Lifecycle)))
         started_us = self.draw.draw(st.sampled_from([0, self.harness.now_us]))
@@ -189,9 +213,9 @@
             self.down_us.setdefault(name, self.harness.now_us)
         self.check(self.harness.update_endpoints(entry, kind=EndpointUpdateKind.DELTA))
 
-    def finish(self, name: str, seen: Seen, status: AttemptStatus) -> None:
+    def end_attempt(self, name: str, seen: Seen, status: AttemptStatus) -> None:
         sent = seen.attempts[-1]
-        seen.out = False
+        seen.in_flight = False
         if status not in NEVER_RAN and seen.first_run is None:
             old = self.entries[sent.server]
             seen.first_run = (old, self.sent_us(sent, seen))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -44,12 +44,12 @@
     return harness
 
 
-def test_attempts_end_before_the_client_gives_up() -> None:
+def test_attempts_time_out_before_the_clients_deadline() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.request(request_id=R)
     first = harness.actions_of(Send)[0]
-    assert T0 + 300_000 <= first.deadline_us <= T0 + SECOND  # leaves room for another
+    assert T0 + 300_000 <= first.deadline_us <= T0 + SECOND  # leaves time for a retry
     harness.now_us = first.deadline_us
     harness.end_attempt(R, first.server, AttemptStatus.EXPIRED)
     second = harness.actions_of(Send)[0]
@@ -60,7 +60,7 @@
     assert harness.actions_of(Reject)
 
 
-def test_fragile_gets_its_whole_time_as_no_other_attempt_may_follow() -> None:
+def test_fragile_gets_all_its_time_as_no_retry_may_follow() -> None:
     harness = keyed(Idempotency.FRAGILE)
     assert harness.actions_of(Send)[0].deadline_us > T0 + 1_900_000
 
@@ -76,7 +76,7 @@
     assert not harness.actions
 
 
-def test_a_client_that_left_gets_no_further_attempt() -> None:
+def test_a_disconnected_client_gets_no_retry() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.request(request_id=R)
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize("status", [AttemptStatus.SHED, AttemptStatus.DIAL_FAILED])
-def test_fragile_that_never_ran_goes_on(status: AttemptStatus) -> None:
+def test_fragile_that_never_ran_is_retried(status: AttemptStatus) -> None:
     harness = keyed(Idempotency.FRAGILE)
     harness.end_attempt(R, "a", status)
     assert harness.sent_to() in ("b", "c")
@@ -126,7 +126,7 @@
         assert harness.actions_of(Fail)
 
 
-def test_dedup_crosses_zones_only_where_all_drop_repeats() -> None:
+def test_dedup_is_retried_across_zones_only_where_all_drop_repeats() -> None:
     for scope in (KeyScope.ALL, KeyScope.ZONE):
         harness = keyed(Idempotency.DEDUP, scope)
         harness.report("b", 0.90, 30)
@@ -137,7 +137,7 @@
         assert bool(harness.actions_of(Fail)) is (scope is KeyScope.ZONE)
 
 
-def test_dedup_is_not_sent_after_its_window() -> None:
+def test_dedup_is_not_retried_after_its_key_expires() -> None:
     harness = keyed(Idempotency.DEDUP, KeyScope.ALL, ttl_us=500_000)
     harness.now_us += 500_001
     harness.end_attempt(R, "a", AttemptStatus.EXPIRED)
@@ -145,7 +145,7 @@
     assert harness.actions_of(Reject)
 
 
-def test_a_draining_or_gone_server_gets_nothing_new() -> None:
+def test_a_draining_or_removed_server_gets_no_request() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=1)
     harness.report("a", 0.10, 10)
@@ -161,7 +161,7 @@
     assert harness.sent_to() == "a"
 
 
-def test_a_snapshot_removes_what_it_does_not_name() -> None:
+def test_a_snapshot_removes_servers_it_does_not_list() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.list_servers(b=0)
@@ -169,18 +169,18 @@
     assert harness.sent_to() == "b"
 
 
-def cold_harness(balancers: int = 3, rank: int = 0) -> BalancerHarness:
+def slow_start_harness(balancers: int = 3, rank: int = 0) -> BalancerHarness:
     harness = BalancerHarness(settings(balancers=balancers, rank=rank))
     harness.update_endpoints(Endpoint("old"), Endpoint("young", started_us=T0))
     harness.report("old", 1.0, 50)  # r = 0.02: a full server holds 50 connections
     return harness
 
 
-def test_all_balancers_together_stay_inside_a_cold_servers_budget() -> None:
+def test_all_balancers_together_keep_a_slow_start_budget() -> None:
     # In any window of fall_us: multiple x capacity now x window, each with its set-up and its load for so long.
     sends: list[int] = []
     for rank in range(3):
-        harness = cold_harness(rank=rank)
+        harness = slow_start_harness(rank=rank)
         for step in range(100):
             harness.now_us = T0 + step * SECOND // 10
             for _ in range(20):
@@ -190,14 +190,14 @@
     assert sends
     for start_us in sends:
         sent = sum(start_us <= at_us < start_us + SECOND for at_us in sends)
-        share = 0.2 + 0.8 * (start_us - T0) / (10 * SECOND)
-        assert sent * (SETUP_US / SECOND + 0.02) <= 3.0 * share
-    # With the load of the whole warm-up charged at once it was 4, and others were refused.
+        warm_up_fraction = 0.2 + 0.8 * (start_us - T0) / (10 * SECOND)
+        assert sent * (SETUP_US / SECOND + 0.02) <= 3.0 * warm_up_fraction
+    # With the load of the whole warm-up charged at once it was 4, and others were rejected.
     assert sum(at_us < T0 + 3 * SECOND for at_us in sends) >= 7
 
 
-def test_cold_budget_counts_rejected_work() -> None:
-    harness = cold_harness(balancers=1)
+def test_slow_start_budget_counts_shed_attempts() -> None:
+    harness = slow_start_harness(balancers=1)
     harness.now_us += SECOND
     sent = 0
     for index in range(30):
@@ -210,7 +210,7 @@
     assert 0 < sent * (SETUP_US / SECOND + 0.02) <= 3.0 * 0.28
 
 
-def test_cold_budget_charges_the_groups_load() -> None:
+def test_slow_start_budget_charges_the_groups_load() -> None:
     # Guards against a server 3.5 s old that got 58 connections, each with its group's load.
     def sent(groups: bool) -> int:
         harness = BalancerHarness(settings(balancers=1, groups=groups))
@@ -227,10 +227,10 @@
     assert 0 < sent(True) <= 0.7 * sent(False)  # the admission test binds some of the lighter ones first
 
 
-def test_light_connections_charge_the_cold_budget_too() -> None:
+def test_slow_start_budget_charges_light_connections() -> None:
     # Guards against 26 light connections within 1.5 s on a server 11.7 s old: each is a set-up.
     def sent(hint_us: int) -> int:
-        harness = cold_harness(balancers=1)
+        harness = slow_start_harness(balancers=1)
         for _ in range(20):
             harness.request(hint_us=10_000, hint_valid=True)
         count = 0
@@ -244,9 +244,9 @@
     assert 0 < sent(1_000) <= sent(10_000) + 1
 
 
-def test_many_empty_servers_do_not_open_the_cold_budget() -> None:
+def test_many_empty_servers_do_not_widen_the_slow_start_budget() -> None:
     # Guards against a fleet's mean r dragged down by servers that hold only set-ups.
-    harness = cold_harness(balancers=1)
+    harness = slow_start_harness(balancers=1)
     names = [f"s{index}" for index in range(12)]
     harness.update_endpoints(*(Endpoint(name) for name in names), kind=EndpointUpdateKind.DELTA)
     for _ in range(10):
@@ -258,7 +258,7 @@
     assert harness.context.fleet.load_per_connection > 0.01
 
 
-def test_subscription_is_asked_for_until_it_stands() -> None:
+def test_subscription_is_requested_until_it_is_active() -> None:
     harness = BalancerHarness(settings(must_subscribe=True, ask_within_us=10 * SECOND))
     assert harness.actions_of(Subscribe) == [Subscribe(True)]
     harness.update_endpoints(Endpoint("a"), kind=EndpointUpdateKind.CACHED)
