--- a/stoatgw/decisions/balancer.py
+++ b/stoatgw/decisions/balancer.py
@@ -64,9 +64,9 @@
         self._context.now_us = now_us
         return self._context.avoided_servers()
 
-    def migrate(self, request: str) -> list[api.Action]:
+    def migrate(self, request_id: str) -> list[api.Action]:
         """Migrate an established connection, as planned elsewhere; nothing if it is not one any more."""
-        return [api.Migrate(request)] if self._context.begin_migration(request) else []
+        return [api.Migrate(request_id)] if self._context.begin_migration(request_id) else []
 
     def _on_request(self, request: api.Request) -> None:
         placement.place(self._context, self._context.open_request(request))
@@ -140,6 +140,6 @@
         self._context.regroup_servers(max_report_age_us=server_selection.RECENT_REPORT_US)
         health_checking.check_oldest(self._context)
 
-    def _place_waiting(self, requests: list[str]) -> None:
-        for request in requests:
-            placement.place(self._context, self._context.connections[request])
+    def _place_waiting(self, request_ids: list[str]) -> None:
+        for request_id in request_ids:
+            placement.place(self._context, self._context.connections[request_id])
