--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -126,8 +126,8 @@
         balancer = harness.controller._decisions._policy
         assert isinstance(balancer, Balancer)
         assert len(handler.calls) == 1
-        assert not balancer._connections
-        assert not balancer._own.under_way
+        assert not balancer._context.connections
+        assert not balancer._context.counts.setups_in_flight
         await harness.deliver(
             *(HealthCheckCompleted(server, AttemptStatus.DELIVERED, 1_000, (0.1, 5.0)) for server in checked)
         )
