--- a/stoatgw/__main__.py
+++ b/stoatgw/__main__.py
@@ -6,11 +6,12 @@
 
 
 def main() -> int:
+    """Run the proxy or the command line; returns the exit status."""
     if len(sys.argv) > 1:
         from stoatgw.cli.main import main as command_line
 
         return command_line()
-    # The service's way in: it imports nothing of the command line.
+    # The proxy's own way in imports nothing of the command line.
     from stoatgw.service import main as serve
 
     return serve()
--- a/stoatgw/atomic_file.py
+++ b/stoatgw/atomic_file.py
@@ -1,31 +1,49 @@
-"""Small files of ours: a version and a checksum before the rest, written whole and renamed into place."""
+"""Small files that outlive a process: a version and a checksum before the body, replaced in one step.
+
+A reader meets the old file or the new one, never half of one, and notices a file that was cut off or changed.
+"""
 
 from __future__ import annotations
 
 import contextlib
 import os
 import zlib
+from collections.abc import Iterator
 from pathlib import Path
 
 
-def frame(head: bytes, body: bytes) -> bytes:
-    """`head` names the kind of file and its version."""
-    return head + b"%08x\n" % zlib.crc32(body) + body + b"\n"
+def frame(header: bytes, body: bytes) -> bytes:
+    """The file's bytes; `header` names its kind and version."""
+    return header + _checksum(body) + b"\n" + body + b"\n"
+
+
+def unframe(header: bytes, data: bytes, mismatch_reason: str) -> bytes:
+    """The body of a file's bytes.
 
+    Args:
+        header: What the file has to begin with.
+        data: The file's bytes.
+        mismatch_reason: What to say of a file that begins with something else.
 
-def unframe(head: bytes, data: bytes, other: str) -> bytes:
-    """The body. Raises ValueError: `other` says what a file is not that has another head, or was cut."""
-    first, _, rest = data.partition(b"\n")
+    Raises:
+        ValueError: The file is of another kind or version, cut off, or fails its checksum.
+    """
+    first_line, _, rest = data.partition(b"\n")
     body = rest.removesuffix(b"\n")
-    if not first.startswith(head) or rest == body:
-        raise ValueError(f"{other}, or cut off")
-    if first[len(head) :] != b"%08x" % zlib.crc32(body):
+    is_complete = rest != body
+    if not first_line.startswith(header) or not is_complete:
+        raise ValueError(f"{mismatch_reason}, or cut off")
+    if first_line[len(header) :] != _checksum(body):
         raise ValueError("has a wrong checksum")
     return body
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Raises OSError, with the file as it was."""
+    """Replace a file in one step.
+
+    Raises:
+        OSError: The file could not be written; it is as it was.
+    """
     draft = path.with_suffix(f".{os.getpid()}")
     try:
         draft.write_bytes(data)
@@ -34,3 +52,16 @@
         with contextlib.suppress(OSError):
             draft.unlink(missing_ok=True)
         raise
+
+
+@contextlib.contextmanager
+def closing_descriptor(descriptor: int) -> Iterator[int]:
+    """Close a descriptor, and thereby drop its locks, at the end of the block."""
+    try:
+        yield descriptor
+    finally:
+        os.close(descriptor)
+
+
+def _checksum(body: bytes) -> bytes:
+    return b"%08x" % zlib.crc32(body)
--- a/stoatgw/hot_restart/handover.py
+++ b/stoatgw/hot_restart/handover.py
@@ -1,4 +1,4 @@
-"""Who of several processes of one proxy takes clients: pure."""
+"""Which of several processes of one proxy accepts clients. Pure."""
 
 from __future__ import annotations
 
@@ -6,17 +6,24 @@
 
 from stoatgw.hot_restart.sibling_processes import ProcessRecord
 
-LEARN_US = 500_000  # a new process beside an old one first learns how full the servers are, for so long
-LIST_US = 2_500_000  # and waits so long for news of the list, if an old copy is at hand; it has 6 s
+LOAD_LEARNING_US = 500_000  # a process beside an older one first learns for so long how loaded the servers are
+ENDPOINT_LIST_WAIT_US = 2_500_000  # with a cached list it waits for a new one for so long; the platform gives it 6 s
 
 
-def may_begin(began_us: int, told_us: int | None, listed: bool, now_us: int) -> bool:
-    """Whether a process that started beside another may say yes: `told_us` is when discovery first told it."""
-    if told_us is not None:
-        return now_us >= told_us + LEARN_US
-    return listed and now_us >= began_us + LIST_US
+def may_start_accepting(started_us: int, first_update_us: int | None, *, has_endpoints: bool, now_us: int) -> bool:
+    """Whether a process that started beside another may accept.
 
+    Args:
+        started_us: When it started.
+        first_update_us: When discovery itself first sent it the list; None before.
+        has_endpoints: Whether it holds a list, be it a cached one.
+        now_us: The time now.
+    """
+    if first_update_us is not None:
+        return now_us >= first_update_us + LOAD_LEARNING_US
+    return has_endpoints and now_us >= started_us + ENDPOINT_LIST_WAIT_US
 
-def newer(own: ProcessRecord, others: Iterable[ProcessRecord]) -> bool:
-    """Whether another that takes clients began after this one: then that one alone accepts."""
-    return any(peer.is_accepting and peer.since_us > own.since_us for peer in others)
+
+def is_newer_accepting(own: ProcessRecord, siblings: Iterable[ProcessRecord]) -> bool:
+    """Whether a sibling accepts that began to do so after this process: then that one alone accepts."""
+    return any(sibling.is_accepting and sibling.since_us > own.since_us for sibling in siblings)
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -1,4 +1,4 @@
-"""Another process of this proxy beside this one: who accepts, and what the two hold together."""
+"""Carries out a hot restart: whether this process accepts, and how many descriptors its siblings hold."""
 
 from __future__ import annotations
 
@@ -7,107 +7,144 @@
 
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.listener import Listener
-from stoatgw.discovery.client import DiscoveryClient
-from stoatgw.hot_restart.handover import may_begin, newer
+from stoatgw.discovery.publisher import EndpointPublisher
+from stoatgw.hot_restart.handover import is_newer_accepting, may_start_accepting
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
-from stoatgw.telemetry.log import EventLog
 
-LOOK_S = 0.1
-BASE = 24  # descriptors of a process beside those of its clients
+POLL_INTERVAL_S = 0.1
+BASE_DESCRIPTORS = 24  # of a process, beside those of its clients
+
+READ_FAILED = "siblings_read_failed"
+PUBLISH_FAILED = "sibling_publish_failed"
 
 
 class HotRestart:
+    """This process among the processes of its proxy."""
+
     def __init__(
-        self, folder: str | None, context: ProxyContext, listener: Listener, director: DiscoveryClient, log: EventLog
+        self, folder: str | None, context: ProxyContext, listener: Listener, publisher: EndpointPublisher
     ) -> None:
-        self._context, self._listener, self._director, self._log = context, listener, director, log
-        self._peers = SiblingProcesses(Path(folder)) if folder else None
-        self._own = ProcessRecord(False, context.clock.now_us(), BASE)
-        self._others: list[ProcessRecord] = []
+        """Prepare; `start` makes this process visible.
+
+        Args:
+            folder: Where the processes of this proxy find one another; None, and there are no siblings.
+            context: What the proxy's sessions share.
+            listener: The clients' listener, switched on and off here.
+            publisher: Tells when discovery first sent the endpoint list.
+        """
+        self._context = context
+        self._listener = listener
+        self._publisher = publisher
+        self._log = context.log
+        self._processes = SiblingProcesses(Path(folder)) if folder else None
+        self._own = ProcessRecord(is_accepting=False, since_us=0, descriptors=BASE_DESCRIPTORS)
+        self._siblings: list[ProcessRecord] = []
+        self._lasting_failures: dict[str, str] = {}  # errors by log event: each is logged once while it lasts
         self.is_accepting = False
-        self._told: dict[str, str] = {}  # troubles that last, by event: told once
+        """Whether this process accepts clients now."""
 
     def start(self) -> None:
-        """Be seen, and take clients unless another process still does."""
-        if self._peers is None:
-            self._log.event("siblings_read_failed", error="TMPDIR is not set")
-        else:
-            try:
-                self._peers.join(self._own)
-            except OSError as fault:
-                self._log.event("siblings_read_failed", error=str(fault))
-                self._peers = None
-        self._look()
-        if any(peer.is_accepting for peer in self._others):
-            self._log.event("sibling_detected", others=len(self._others))
+        """Become visible, and accept clients unless a sibling still does."""
+        self._own = replace(self._own, since_us=self._context.clock.now_us())
+        self._join()
+        self._read_siblings()
+        if any(sibling.is_accepting for sibling in self._siblings):
+            self._log.event("sibling_detected", others=len(self._siblings))
             self._listener.set_accepting(False)
         else:
-            self._take_clients()
+            self._start_accepting()
+
+    def poll(self) -> None:
+        """Follow what the siblings do; to be called every POLL_INTERVAL_S."""
+        self._read_siblings()
+        descriptors = BASE_DESCRIPTORS + self._context.descriptor_limiter.descriptors_held
+        if descriptors != self._own.descriptors:
+            self._own = replace(self._own, descriptors=descriptors)
+            self._publish()
+        if self._own.is_accepting:
+            self._yield_or_resume()
+        else:
+            self._take_over_if_due()
 
-    def _take_clients(self) -> None:
-        """From now on this process is the one that accepts."""
+    def is_superseded(self) -> bool:
+        """Whether a sibling that started later accepts the clients."""
+        self._read_siblings()
+        return is_newer_accepting(self._own, self._siblings)
+
+    def stop(self) -> None:
+        """Stop being visible: this process ends."""
+        if self._processes is not None:
+            self._processes.leave()
+
+    # Accepting.
+
+    def _start_accepting(self) -> None:
         self._own = replace(self._own, is_accepting=True, since_us=self._context.clock.now_us())
-        self._tell()
+        self._publish()
         self.is_accepting = True
         self._listener.set_accepting(True)
 
-    def is_superseded(self) -> bool:
-        """Whether a process that began later takes the clients."""
-        self._look()
-        return newer(self._own, self._others)
-
-    def _tell(self) -> None:
-        if self._peers is not None:
-            try:
-                self._peers.publish(self._own)
-                self._told.pop("sibling_publish_failed", None)
-            except OSError as fault:
-                self._trouble("sibling_publish_failed", fault)
-
-    def _trouble(self, event: str, fault: OSError) -> None:
-        if self._told.get(event) != str(fault):  # it is met ten times a second
-            self._told[event] = str(fault)
-            self._log.event(event, error=str(fault))
-
-    def _look(self) -> None:
-        if self._peers is None:
+    def _take_over_if_due(self) -> None:
+        now_us = self._context.clock.now_us()
+        has_endpoints = self._context.backends.has_endpoints
+        nobody_accepts = not any(sibling.is_accepting for sibling in self._siblings)  # who did has ended
+        if (nobody_accepts and has_endpoints) or may_start_accepting(
+            self._own.since_us, self._publisher.first_update_us, has_endpoints=has_endpoints, now_us=now_us
+        ):
+            self._log.event("accepting_taken_over", others=len(self._siblings))
+            self._start_accepting()
+
+    def _yield_or_resume(self) -> None:
+        """Leave accepting to a sibling that began later, and accept again should it end."""
+        if not self._context.lifecycle.is_serving:
+            return
+        should_accept = not is_newer_accepting(self._own, self._siblings)
+        if should_accept == self.is_accepting:
+            return
+        self.is_accepting = should_accept
+        if should_accept:
+            self._log.event("accepting_resumed")
+        else:
+            self._log.event("accepting_yielded")
+        self._listener.set_accepting(should_accept)
+
+    # The shared folder.
+
+    def _join(self) -> None:
+        if self._processes is None:
+            self._log.event(READ_FAILED, error="TMPDIR is not set")
             return
         try:
-            self._others = self._peers.others()
-            self._told.pop("siblings_read_failed", None)
-        except OSError as fault:
-            self._trouble("siblings_read_failed", fault)
-            self._others = []
-        self._context.descriptor_limiter.held_by_siblings = sum(peer.descriptors for peer in self._others)
+            self._processes.join(self._own)
+        except OSError as error:
+            self._log.event(READ_FAILED, error=str(error))
+            self._processes = None
 
-    def poll(self) -> None:
-        """To be called every LOOK_S."""
-        self._look()
-        held = BASE + self._context.descriptor_limiter.descriptors_held
-        if held != self._own.descriptors:
-            self._own = replace(self._own, descriptors=held)
-            self._tell()
-        if not self._own.is_accepting:
-            self._begin_later()
+    def _publish(self) -> None:
+        if self._processes is None:
+            return
+        try:
+            self._processes.publish(self._own)
+        except OSError as error:
+            self._log_once(PUBLISH_FAILED, error)
         else:
-            self._yield_or_accept()
+            self._lasting_failures.pop(PUBLISH_FAILED, None)
 
-    def stop(self) -> None:
-        """This process ends."""
-        if self._peers is not None:
-            self._peers.leave()
-
-    def _begin_later(self) -> None:
-        now_us, known = self._context.clock.now_us(), self._context.backends.has_endpoints
-        alone = not any(peer.is_accepting for peer in self._others)  # whoever served has gone: nobody does now
-        if (alone and known) or may_begin(self._own.since_us, self._director.publisher.first_update_us, known, now_us):
-            self._log.event("accepting_taken_over", others=len(self._others))
-            self._take_clients()
-
-    def _yield_or_accept(self) -> None:
-        """Accept unless one that began later does; if that one dies, again."""
-        accepts = self._context.lifecycle.is_serving and not newer(self._own, self._others)
-        if accepts != self.is_accepting and self._context.lifecycle.is_serving:
-            self.is_accepting = accepts
-            self._log.event("accepting_resumed" if accepts else "accepting_yielded")
-            self._listener.set_accepting(accepts)
+    def _read_siblings(self) -> None:
+        if self._processes is None:
+            return
+        try:
+            self._siblings = self._processes.read_siblings()
+        except OSError as error:
+            self._log_once(READ_FAILED, error)
+            self._siblings = []
+        else:
+            self._lasting_failures.pop(READ_FAILED, None)
+        held_by_siblings = sum(sibling.descriptors for sibling in self._siblings)
+        self._context.descriptor_limiter.held_by_siblings = held_by_siblings
+
+    def _log_once(self, event: str, error: OSError) -> None:
+        """Log a failure that is met at each poll, once while it lasts."""
+        if self._lasting_failures.get(event) != str(error):
+            self._lasting_failures[event] = str(error)
+            self._log.event(event, error=str(error))
--- a/stoatgw/hot_restart/socket_activation.py
+++ b/stoatgw/hot_restart/socket_activation.py
@@ -8,36 +8,53 @@
 
 from stoatgw.config.deployment import Address
 from stoatgw.config.errors import ConfigError
+from stoatgw.hot_restart import LISTEN_DESCRIPTOR_VARIABLE
 
-FIELD = "LB_LISTEN_FD"
+MAX_DESCRIPTOR = 1 << 20
+MAX_QUOTED_CHARS = 40
 
 
-def adopt(text: str, listen: Address) -> socket.socket:
-    """The socket with that number, if it listens where the configuration says. Raises ConfigError."""
-    if not text.isascii() or not text.isdigit() or int(text) > 1 << 20:
-        raise ConfigError(f"{text[:40]!r} is no descriptor's number", field=FIELD)
-    number = int(text)
-    try:
-        if not stat.S_ISSOCK(os.fstat(number).st_mode):
-            raise ConfigError(f"descriptor {number} is no socket", field=FIELD)
-    except OSError as fault:
-        raise ConfigError(f"descriptor {number}: {fault.strerror}", field=FIELD) from None
-    sock = socket.socket(fileno=number)
-    why = _unfit(sock, listen)
-    if why:
-        sock.detach()  # whoever gave it may use it still
-        raise ConfigError(f"descriptor {number} {why}", field=FIELD)
+def adopt_listening_socket(number: str, address: Address) -> socket.socket:
+    """The inherited socket, without blocking.
+
+    Args:
+        number: The descriptor's number, in decimal digits.
+        address: Where the configuration says it listens.
+
+    Raises:
+        ConfigError: It is no such socket; its descriptor stays open.
+    """
+    descriptor = _parse_descriptor(number)
+    inherited = socket.socket(fileno=descriptor)
+    mismatch = _find_mismatch(inherited, address)
+    if mismatch is not None:
+        inherited.detach()  # whoever handed it over may still use it
+        raise ConfigError(f"descriptor {descriptor} {mismatch}", field=LISTEN_DESCRIPTOR_VARIABLE)
     # Shared with whoever else holds it: a blocking accept would hang where another process was faster.
-    sock.setblocking(False)
-    return sock
+    inherited.setblocking(False)
+    return inherited
+
+
+def _parse_descriptor(number: str) -> int:
+    if not number.isascii() or not number.isdigit() or int(number) > MAX_DESCRIPTOR:
+        raise ConfigError(f"{number[:MAX_QUOTED_CHARS]!r} is no descriptor's number", field=LISTEN_DESCRIPTOR_VARIABLE)
+    descriptor = int(number)
+    try:
+        mode = os.fstat(descriptor).st_mode
+    except OSError as error:
+        raise ConfigError(f"descriptor {descriptor}: {error.strerror}", field=LISTEN_DESCRIPTOR_VARIABLE) from error
+    if not stat.S_ISSOCK(mode):
+        raise ConfigError(f"descriptor {descriptor} is no socket", field=LISTEN_DESCRIPTOR_VARIABLE)
+    return descriptor
 
 
-def _unfit(sock: socket.socket, listen: Address) -> str:
-    if sock.family != socket.AF_INET or sock.type != socket.SOCK_STREAM:
+def _find_mismatch(inherited: socket.socket, address: Address) -> str | None:
+    """In what the socket differs from one that listens at the address; None where it does not."""
+    if inherited.family != socket.AF_INET or inherited.type != socket.SOCK_STREAM:
         return "is no TCP socket over IPv4"
-    if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+    if not inherited.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         return "does not listen"
-    host, port = sock.getsockname()
-    if (host, port) != (listen.host, listen.port):
-        return f"listens at {host}:{port}, not at {listen}"
-    return ""
+    host, port = inherited.getsockname()
+    if (host, port) != (address.host, address.port):
+        return f"listens at {host}:{port}, not at {address}"
+    return None
--- a/stoatgw/management/__init__.py
+++ b/stoatgw/management/__init__.py
@@ -1,5 +1,6 @@
-"""The operators' second address: HTTP/1.1, one call to a connection.
+"""The operators' second address: HTTP/1.1, one request to a connection.
 
-`http` reads a call and `calls` says which it is, both without sockets; `listener` is the thin part with them, and
-answers every whole call at once, whatever else is held. What a call does is left to a `Desk`, which the service wires.
+`http` parses a request and `routes` says which operation it asks for, both without sockets; `listener` is the thin
+part with them, and answers every complete request at once, whatever the load. What an operation does is left to a
+`ManagementApi`, which `operations` implements on the proxy's parts.
 """
--- a/stoatgw/management/http.py
+++ b/stoatgw/management/http.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 call into method and path, and an answer into bytes. No sockets."""
+"""Parses one HTTP/1.1 request into method and path, and encodes a response. No sockets."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 import httptools
 
-CALL_CAP = 16_384  # bytes of a whole call, its body included, which no call needs
-PHRASES = {
+MAX_REQUEST_BYTES = 16_384  # of a complete request, its body included; no operation needs as much
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -22,51 +22,60 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
+    """A complete request; `path` is as it was sent, without its query."""
+
     method: str
-    path: str  # as it came, without its query
+    path: str
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
+    """A response; `body` is for people or holds the metrics, `allow` names the right method beside a 405."""
+
     status: int
-    body: str  # for people, or the figures
-    allow: str = ""  # with 405: the method that is
+    body: str
+    allow: str = ""
 
     def to_bytes(self) -> bytes:
+        """The response as it is sent; the connection closes after it."""
         body = self.body.encode()
         allow = f"Allow: {self.allow}\r\n" if self.allow else ""
         head = (
-            f"HTTP/1.1 {self.status} {PHRASES[self.status]}\r\n{allow}Content-Type: text/plain; charset=utf-8\r\n"
+            f"HTTP/1.1 {self.status} {REASON_PHRASES[self.status]}\r\n"
+            f"{allow}Content-Type: text/plain; charset=utf-8\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         )
         return head.encode() + body
 
 
 class HttpRequestParser:
-    """Feeds what comes to httptools until one call is whole; what follows it is passed over."""
+    """Feeds data to httptools until one request is complete; what follows it is ignored."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
-        self._url, self._size = b"", 0
-        self._call: HttpRequest | None = None
+        self._url = b""
+        self._received_bytes = 0
+        self._request: HttpRequest | None = None
 
     def on_url(self, part: bytes) -> None:
+        """Called by httptools with each part of the request's target."""
         self._url += part
 
     def on_message_complete(self) -> None:
-        if self._call is not None:
+        """Called by httptools at the end of each request; only the first one counts."""
+        if self._request is not None:
             return
         path = httptools.parse_url(self._url).path or b""
-        self._call = HttpRequest(self._parser.get_method().decode("ascii", "replace"), path.decode("ascii"))
+        self._request = HttpRequest(self._parser.get_method().decode("ascii", "replace"), path.decode("ascii"))
 
     def feed(self, data: bytes) -> HttpRequest | HttpResponse | None:
-        """The call, or why there can be none; None until it is whole."""
-        self._size += len(data)
+        """The request, or the response to data that is none; None until the request is complete."""
+        self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, UnicodeDecodeError):
-            # What comes after a whole call may be anything: the call counts.
-            return self._call or HttpResponse(400, "no: this is no HTTP/1.1 call\n")
-        if self._call is None and self._size > CALL_CAP:
-            return HttpResponse(413, f"no: a call holds {CALL_CAP} bytes at most\n")
-        return self._call
+            # Whatever follows a complete request: the request counts.
+            return self._request or HttpResponse(400, "no: this is no HTTP/1.1 call\n")
+        if self._request is None and self._received_bytes > MAX_REQUEST_BYTES:
+            return HttpResponse(413, f"no: a call holds {MAX_REQUEST_BYTES} bytes at most\n")
+        return self._request
--- a/stoatgw/management/listener.py
+++ b/stoatgw/management/listener.py
@@ -1,4 +1,4 @@
-"""The second address on its sockets. Its callers have descriptors of their own: see `CALLERS_MOST`."""
+"""The second address on its sockets. Its connections have descriptors of their own: see `MAX_CONNECTIONS`."""
 
 from __future__ import annotations
 
@@ -8,88 +8,126 @@
 from typing import Protocol
 
 from stoatgw.config.deployment import Address
-from stoatgw.management.http import HttpRequestParser, HttpResponse
+from stoatgw.management.http import HttpRequest, HttpRequestParser, HttpResponse
 from stoatgw.management.routes import OperationRequest, parse_operation
 from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
-CALLERS_MOST = 32  # held at once; kept free of clients, so that neither can shut the other out
-PATIENCE_S = 2.0  # from accepting to a whole call
-LINGER_S = 0.25
-BUFFER = 4096
+MAX_CONNECTIONS = 32  # their descriptors are reserved, so that neither clients nor operators shut the other out
+REQUEST_TIMEOUT_S = 2.0  # from accepting a connection to its complete request
+LINGER_TIMEOUT_S = 0.25
+RECEIVE_BUFFER_BYTES = 4096
 
 
 class ManagementApi(Protocol):
-    """Carries calls out; no waiting on anything that a load could hold up."""
+    """Carries operations out, without waiting on anything that a load could hold up."""
 
-    def execute(self, order: OperationRequest) -> HttpResponse: ...
+    def execute(self, request: OperationRequest) -> HttpResponse:
+        """Carry an operation out; the response says whether it took effect."""
+        ...
 
 
 class ManagementListener:
-    def __init__(self, desk: ManagementApi, log: EventLog, counters: Counters) -> None:
-        self._desk, self._log, self._counters = desk, log, counters
-        self._sock: socket.socket | None = None
-        self._callers: dict[asyncio.Task[None], socket.socket] = {}  # oldest first
+    """Accepts the operators' connections and answers one request on each."""
+
+    def __init__(self, api: ManagementApi, log: EventLog, counters: Counters) -> None:
+        """Prepare the listener; `bind` and then `run` open it."""
+        self._api = api
+        self._log = log
+        self._counters = counters
+        self._listener: socket.socket | None = None
+        self._connections: dict[asyncio.Task[None], socket.socket] = {}  # oldest first
 
     def bind(self, address: Address) -> None:
-        """Raises OSError."""
-        self._sock = tcp.create_listener((address.host, address.port), CALLERS_MOST)
+        """Listen at the address.
+
+        Raises:
+            OSError: Nothing can listen there.
+        """
+        self._listener = tcp.create_listener((address.host, address.port), MAX_CONNECTIONS)
+
+    @property
+    def bound_port(self) -> int:
+        """The port it listens on, also where the address left the choice to the system; 0 before `bind`."""
+        if self._listener is None:
+            return 0
+        port: int = self._listener.getsockname()[1]
+        return port
 
     async def run(self) -> None:
-        if self._sock is None:
+        """Accept connections until cancelled; each is served by a task of its own."""
+        if self._listener is None:
             return
         loop = asyncio.get_running_loop()
         while True:
             try:
-                sock = await tcp.accept(self._sock)
-            except OSError as fault:
-                self._log.event("management_accept_failed", error=str(fault))
+                connection = await tcp.accept(self._listener)
+            except OSError as error:
+                self._log.event("management_accept_failed", error=str(error))
                 await asyncio.sleep(tcp.ACCEPT_RETRY_INTERVAL_S)
                 continue
-            if len(self._callers) >= CALLERS_MOST:
-                # Guards against callers that send nothing, or half a call, and stay: the oldest makes room.
-                oldest, held = next(iter(self._callers.items()))
-                del self._callers[oldest]
-                with contextlib.suppress(OSError):
-                    held.shutdown(socket.SHUT_RDWR)  # wakes its task, which closes it
-            task = loop.create_task(self._serve(sock))
-            self._callers[task] = sock
-            task.add_done_callback(lambda done: self._callers.pop(done, None))
-
-    async def _serve(self, sock: socket.socket) -> None:
+            if len(self._connections) >= MAX_CONNECTIONS:
+                self._close_oldest()
+            task = loop.create_task(self._serve(connection))
+            self._connections[task] = connection
+            task.add_done_callback(self._forget)
+
+    def _close_oldest(self) -> None:
+        """Guards against connections that send nothing, or half a request, and stay."""
+        task, connection = next(iter(self._connections.items()))
+        del self._connections[task]
+        with contextlib.suppress(OSError):
+            connection.shutdown(socket.SHUT_RDWR)  # wakes its task, which closes it
+
+    def _forget(self, task: asyncio.Task[None]) -> None:
+        self._connections.pop(task, None)
+
+    async def _serve(self, connection: socket.socket) -> None:
         try:
-            answer = await self._answer(sock)
-            if answer is not None:
-                await tcp.close_gracefully(sock, answer.to_bytes(), LINGER_S)
+            response = await self._respond(connection)
+            if response is not None:
+                await tcp.close_gracefully(connection, response.to_bytes(), LINGER_TIMEOUT_S)
         except OSError:
-            pass  # the caller has gone
-        except Exception as fault:  # a fault of one call must not end the address
-            self._log.event("management_call_failed", error=repr(fault))
+            pass  # the operator has closed the connection
+        except Exception as error:  # a fault in one request must not end the address
+            self._log.event("management_call_failed", error=repr(error))
         finally:
-            tcp.close(sock)
+            tcp.close(connection)
 
-    async def _answer(self, sock: socket.socket) -> HttpResponse | None:
-        loop, reader = asyncio.get_running_loop(), HttpRequestParser()
+    async def _respond(self, connection: socket.socket) -> HttpResponse | None:
+        """The response to the connection's request; None where it was closed before."""
         try:
-            async with asyncio.timeout(PATIENCE_S):
-                while True:
-                    data = await loop.sock_recv(sock, BUFFER)
-                    if not data:
-                        return None
-                    call = reader.feed(data)
-                    if call is not None:
-                        break
+            async with asyncio.timeout(REQUEST_TIMEOUT_S):
+                received = await _receive_request(connection)
         except TimeoutError:
             self._counters.add("management_calls_timed_out")
             return HttpResponse(408, "no: no whole call in time\n")
-        order = call if isinstance(call, HttpResponse) else parse_operation(call)
-        if isinstance(order, HttpResponse):
-            return order
+        if received is None or isinstance(received, HttpResponse):
+            return received
+        operation = parse_operation(received)
+        if isinstance(operation, HttpResponse):
+            return operation
+        return self._execute(operation)
+
+    def _execute(self, request: OperationRequest) -> HttpResponse:
         try:
-            answer = self._desk.execute(order)
-        except Exception as fault:  # never a yes before it binds
-            self._log.event("management_call_failed", deed=order.operation.value, error=repr(fault))
+            response = self._api.execute(request)
+        except Exception as error:  # never "yes" to what was not carried out
+            self._log.event("management_call_failed", operation=request.operation.value, error=repr(error))
             return HttpResponse(500, "no: a fault, see the log\n")
         self._counters.add("management_calls")
-        return answer
+        return response
+
+
+async def _receive_request(connection: socket.socket) -> HttpRequest | HttpResponse | None:
+    """The connection's request, or the response to what is none; None where it was closed before."""
+    loop = asyncio.get_running_loop()
+    parser = HttpRequestParser()
+    while True:
+        data = await loop.sock_recv(connection, RECEIVE_BUFFER_BYTES)
+        if not data:
+            return None
+        received = parser.feed(data)
+        if received is not None:
+            return received
--- a/stoatgw/management/operations.py
+++ b/stoatgw/management/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' calls do: see `management` for how they come in."""
+"""What the operators' operations do; `management` says how they arrive."""
 
 from __future__ import annotations
 
@@ -6,95 +6,111 @@
 from typing import assert_never
 
 from stoatgw.clients.context import ProxyContext
-from stoatgw.controller.controller import Controller
 from stoatgw.controller.messages import BeginDrain, CancelDrain
-from stoatgw.discovery.client import DiscoveryClient
+from stoatgw.discovery.publisher import EndpointPublisher
 from stoatgw.management.http import HttpResponse
 from stoatgw.management.routes import Operation, OperationRequest
-from stoatgw.suspension.service import SuspensionService
-from stoatgw.telemetry.log import EventLog
+from stoatgw.suspension.service import StillSuspendedError, SuspensionNotPersistedError, SuspensionService
 
-# Newcomers stop 0.2 s after a PING is told no, which it is ten times a second; at 4 s nobody may be here.
-DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US = 400_000, 2_000_000, 2_600_000
+# New clients stop 0.2 s after a PING is rejected, which is sent ten times a second; after 4 s none may be left.
+DRAIN_ACCEPT_WINDOW_US = 400_000
+DRAIN_MIGRATION_WINDOW_US = 2_000_000
+DRAIN_ADMISSION_WINDOW_US = 2_600_000
 
 
 def start_drain(context: ProxyContext) -> None:
     """Drain the proxy: migrate all its clients. Does nothing while a drain or the shutdown is under way."""
     if context.lifecycle.begin_drain():
         context.log.event("drain_started", open_connections=len(context.established_sessions))
-        context.controller.post(BeginDrain(DRAIN_NEWCOMERS_US, DRAIN_OVER_US, DRAIN_SERVE_US))
+        context.controller.post(
+            BeginDrain(DRAIN_ACCEPT_WINDOW_US, DRAIN_MIGRATION_WINDOW_US, DRAIN_ADMISSION_WINDOW_US)
+        )
 
 
 class Operations:
+    """Carries operations out on the proxy's parts; a `ManagementApi`."""
+
     def __init__(
         self,
         context: ProxyContext,
-        owner: Controller,
-        director: DiscoveryClient,
-        keeper: SuspensionService,
-        log: EventLog,
-        accepts: Callable[[], bool],
+        publisher: EndpointPublisher,
+        suspensions: SuspensionService,
+        accepts_connections: Callable[[], bool],
     ) -> None:
-        self._context, self._owner, self._director, self._keeper = context, owner, director, keeper
-        self._log, self._accepts = log, accepts
+        """Prepare the operations.
 
-    def execute(self, order: OperationRequest) -> HttpResponse:
-        match order.operation:
+        Args:
+            context: What the proxy's sessions share; its lifecycle and metrics are read and changed here.
+            publisher: Holds the endpoint list.
+            suspensions: Suspends and resumes session servers.
+            accepts_connections: Whether this process, and not another one of this proxy, accepts clients now.
+        """
+        self._context = context
+        self._publisher = publisher
+        self._suspensions = suspensions
+        self._accepts_connections = accepts_connections
+
+    def execute(self, request: OperationRequest) -> HttpResponse:
+        """Carry an operation out; the response says whether it took effect."""
+        match request.operation:
             case Operation.READY:
-                return self._ready()
+                return self._report_readiness()
             case Operation.METRICS:
-                figures = self._context.metrics
-                return HttpResponse(
-                    200, figures.render(self._director.publisher.endpoint_count, len(self._owner.avoided_servers()))
-                )
+                return self._render_metrics()
             case Operation.SUSPEND | Operation.RESUME:
-                return self._change(order)
+                return self._change_suspension(request)
             case Operation.DRAIN:
                 return self._drain()
             case Operation.ACTIVATE:
                 return self._activate()
             case _:
-                assert_never(order.operation)
+                assert_never(request.operation)
 
-    def _ready(self) -> HttpResponse:
-        stage = self._context.lifecycle.state.value
-        if not self._context.lifecycle.is_serving:
-            return HttpResponse(503, f"no: {stage}\n")
+    def _report_readiness(self) -> HttpResponse:
+        lifecycle = self._context.lifecycle
+        if not lifecycle.is_serving:
+            return HttpResponse(503, f"no: {lifecycle.state.value}\n")
         if not self._context.backends.has_endpoints:
             return HttpResponse(503, "no: no list of session servers yet\n")
-        if not self._accepts():
+        if not self._accepts_connections():
             return HttpResponse(503, "no: another process takes the clients as yet\n")
         return HttpResponse(200, "yes: takes clients\n")
 
-    def _change(self, order: OperationRequest) -> HttpResponse:
-        name, keeper = order.server, self._keeper
-        if not keeper.has_server(name):
+    def _render_metrics(self) -> HttpResponse:
+        avoided = len(self._context.controller.avoided_servers())
+        return HttpResponse(200, self._context.metrics.render(self._publisher.endpoint_count, avoided))
+
+    def _change_suspension(self, request: OperationRequest) -> HttpResponse:
+        if not self._suspensions.has_server(request.server):
             return HttpResponse(404, "no: there is no such session server\n")
-        if order.operation is Operation.RESUME:
-            why = keeper.resume(name)
-            return (
-                HttpResponse(500, f"no: still out, {why}\n")
-                if why
-                else HttpResponse(200, f"yes: {name} is used again\n")
-            )
-        why = keeper.suspend(name)
-        # Out it is, but an operator who counts on it over a replaced process has to know.
-        return (
-            HttpResponse(500, f"no: out in this process alone, {why}\n")
-            if why
-            else HttpResponse(200, f"yes: {name} is out\n")
-        )
+        if request.operation is Operation.RESUME:
+            return self._resume(request.server)
+        return self._suspend(request.server)
+
+    def _suspend(self, server: str) -> HttpResponse:
+        try:
+            self._suspensions.suspend(server)
+        except SuspensionNotPersistedError as error:
+            # It is suspended, but an operator who counts on it across a restart has to know.
+            return HttpResponse(500, f"no: out in this process alone, {error}\n")
+        return HttpResponse(200, f"yes: {server} is out\n")
+
+    def _resume(self, server: str) -> HttpResponse:
+        try:
+            self._suspensions.resume(server)
+        except StillSuspendedError as error:
+            return HttpResponse(500, f"no: still out, {error}\n")
+        return HttpResponse(200, f"yes: {server} is used again\n")
 
     def _drain(self) -> HttpResponse:
-        course = self._context.lifecycle
         start_drain(self._context)
-        return HttpResponse(200, f"yes: {course.state.value}\n")
+        return HttpResponse(200, f"yes: {self._context.lifecycle.state.value}\n")
 
     def _activate(self) -> HttpResponse:
-        was = self._context.lifecycle.is_serving
+        was_serving = self._context.lifecycle.is_serving
         if not self._context.lifecycle.resume_serving():
             return HttpResponse(409, "no: this process is stopping\n")
-        if not was:
-            self._log.event("drain_cancelled")
-            self._owner.post(CancelDrain())
+        if not was_serving:
+            self._context.log.event("drain_cancelled")
+            self._context.controller.post(CancelDrain())
         return HttpResponse(200, "yes: serving\n")
--- a/stoatgw/management/routes.py
+++ b/stoatgw/management/routes.py
@@ -1,4 +1,4 @@
-"""Which call a method and a path are. No sockets."""
+"""Which operation a method and a path ask for. No sockets."""
 
 from __future__ import annotations
 
@@ -10,6 +10,8 @@
 
 
 class Operation(Enum):
+    """What an operator may ask of a proxy."""
+
     READY = "readyz"
     METRICS = "metrics"
     SUSPEND = "suspend"
@@ -18,32 +20,57 @@
     ACTIVATE = "activate"
 
 
-ANY = ""  # a place in a path that holds an id
-TABLE = (
-    ("GET", ("v1", "readyz"), Operation.READY),
-    ("GET", ("v1", "metrics"), Operation.METRICS),
-    ("POST", ("v1", "session-servers", ANY, "suspend"), Operation.SUSPEND),
-    ("POST", ("v1", "session-servers", ANY, "resume"), Operation.RESUME),
-    ("POST", ("v1", "proxy", "drain"), Operation.DRAIN),
-    ("POST", ("v1", "proxy", "activate"), Operation.ACTIVATE),
+SERVER_ID = ""  # the segment of a route's path that stands for any session server's id
+
+
+@dataclass(frozen=True, slots=True)
+class Route:
+    """An operation's method and path; `segments` are the path's, without the slashes."""
+
+    method: str
+    segments: tuple[str, ...]
+    operation: Operation
+
+    def matches(self, segments: list[str]) -> bool:
+        """Whether a path is this route's, whatever its method."""
+        if len(segments) != len(self.segments):
+            return False
+        return all(expected in (SERVER_ID, segment) for expected, segment in zip(self.segments, segments, strict=True))
+
+    def server(self, segments: list[str]) -> str:
+        """The session server's id in a matching path; empty where the route has none."""
+        if SERVER_ID not in self.segments:
+            return ""
+        return segments[self.segments.index(SERVER_ID)]
+
+
+ROUTES = (
+    Route("GET", ("v1", "readyz"), Operation.READY),
+    Route("GET", ("v1", "metrics"), Operation.METRICS),
+    Route("POST", ("v1", "session-servers", SERVER_ID, "suspend"), Operation.SUSPEND),
+    Route("POST", ("v1", "session-servers", SERVER_ID, "resume"), Operation.RESUME),
+    Route("POST", ("v1", "proxy", "drain"), Operation.DRAIN),
+    Route("POST", ("v1", "proxy", "activate"), Operation.ACTIVATE),
 )
 
 
 @dataclass(frozen=True, slots=True)
 class OperationRequest:
+    """An operation, and the id of the session server it is about, if any."""
+
     operation: Operation
     server: str = ""
 
 
-def parse_operation(call: HttpRequest) -> OperationRequest | HttpResponse:
-    """What is asked for, or the answer to a call that is none: 404 by its path, 405 by its method."""
+def parse_operation(request: HttpRequest) -> OperationRequest | HttpResponse:
+    """The operation asked for, or the response to a request for none: 404 by its path, 405 by its method."""
     try:
-        parts = [unquote_to_bytes(part).decode() for part in call.path.split("/")[1:]]
+        segments = [unquote_to_bytes(segment).decode() for segment in request.path.split("/")[1:]]
     except UnicodeDecodeError:
         return HttpResponse(400, "no: the path is not UTF-8\n")
-    for method, path, deed in TABLE:
-        if len(parts) == len(path) and all(want in (ANY, part) for want, part in zip(path, parts)):
-            if call.method != method:
-                return HttpResponse(405, f"no: {call.path} is called with {method}\n", allow=method)
-            return OperationRequest(deed, next((part for want, part in zip(path, parts) if want == ANY), ""))
+    for route in ROUTES:
+        if route.matches(segments):
+            if request.method != route.method:
+                return HttpResponse(405, f"no: {request.path} is called with {route.method}\n", allow=route.method)
+            return OperationRequest(route.operation, route.server(segments))
     return HttpResponse(404, "no: there is no such call\n")
--- /dev/null
+++ b/stoatgw/service/maintenance.py
@@ -0,0 +1,51 @@
+"""Planned maintenance as a part of the proxy."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+from functools import cached_property
+
+from stoatgw.config.maintenance import MaintenancePlan
+from stoatgw.config.membership import MembershipConfig
+from stoatgw.maintenance.controller import MaintenanceController
+from stoatgw.maintenance.service import make_maintenance_controller
+from stoatgw.service.core import ProxyCore
+from stoatgw.service.part import BackgroundTask, ServicePart
+
+
+class MaintenancePart(ServicePart):
+    """Takes part in the maintenance that the proxies of a fleet agree on."""
+
+    def __init__(self, core: ProxyCore, membership: MembershipConfig, plan: MaintenancePlan) -> None:
+        """Prepare the part; `restore` builds the controller."""
+        self._core = core
+        self._membership = membership
+        self._plan = plan
+        self._release_task: asyncio.Task[None] | None = None
+
+    @cached_property
+    def _controller(self) -> MaintenanceController:
+        core = self._core
+        return make_maintenance_controller(self._membership, self._plan, core.context, core.discovery, core.overrides)
+
+    def restore(self) -> None:
+        """Restore the suspensions of a maintenance that this proxy knew of.
+
+        Raises:
+            ConfigError: The coordination service cannot be reached as configured.
+        """
+        self._controller.start()
+
+    def background_tasks(self) -> Sequence[BackgroundTask]:
+        """The maintenance controller."""
+        return (self._controller.run,)
+
+    def begin_shutdown(self) -> None:
+        """Start to give up this proxy's leases, so that the others need not wait for them to expire."""
+        self._release_task = asyncio.get_running_loop().create_task(self._controller.stop())
+
+    def stop(self) -> None:
+        """Leave leases that could not be given up in time to expire."""
+        if self._release_task is not None:
+            self._release_task.cancel()
--- /dev/null
+++ b/stoatgw/service/part.py
@@ -0,0 +1,44 @@
+"""The interface by which optional parts attach to a proxy."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Coroutine, Sequence
+from typing import Any
+
+BackgroundTask = Callable[[], Coroutine[Any, Any, None]]
+
+
+class ServicePart:
+    """An optional part of a proxy. Each method does nothing unless the part needs it.
+
+    The service calls them in the order in which they stand here, all from its own task. A fault of a background task
+    that ends it shuts the proxy down: what may fail now and then is left to `run_periodically`, or logged by the part.
+    """
+
+    def restore(self) -> None:
+        """Bring back what outlived an earlier process; called before the first endpoint list is loaded.
+
+        Raises:
+            ConfigError: The part cannot run as configured.
+        """
+
+    def attach(self) -> None:
+        """Connect the part to the proxy; called once the clients' listener is bound, before any task runs.
+
+        Raises:
+            ConfigError: The part cannot run as configured.
+        """
+
+    def background_tasks(self) -> Sequence[BackgroundTask]:
+        """What runs as a task each, from the start of the proxy to the end of its process."""
+        return ()
+
+    def is_superseded(self) -> bool:
+        """Whether another process of this proxy accepts the clients from now on; asked when shutdown begins."""
+        return False
+
+    def begin_shutdown(self) -> None:
+        """Begin to wind down; called once the drain has begun. Clients are still served after it."""
+
+    def stop(self) -> None:
+        """End at once; called in reverse order when the drain is over. The process ends after it."""
--- /dev/null
+++ b/stoatgw/service/shutdown.py
@@ -0,0 +1,47 @@
+"""From SIGTERM, or the end of a task, to the end of the process: by the controller's `ShutdownPlan`."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Sequence
+
+from stoatgw.controller.graceful_shutdown import ShutdownPlan, plan_shutdown
+from stoatgw.service.core import ProxyCore
+from stoatgw.service.part import ServicePart
+
+POLL_INTERVAL_S = 0.02
+BACKLOG_LEAD_US = 50_000  # the backlog is accepted, and the listener closed, so long before the earliest end
+
+
+async def shut_down(core: ProxyCore, parts: Sequence[ServicePart]) -> None:
+    """Drain the proxy and end its parts; returns when the process may end."""
+    context = core.context
+    is_handed_over = any(part.is_superseded() for part in parts)
+    context.log.event("shutdown_started", open_connections=core.listener.open_connections, handed_over=is_handed_over)
+    context.lifecycle.begin_shutdown(handed_over=is_handed_over)
+    if is_handed_over:
+        # The other process accepts all new connections. Those accepted here are served, then migrated.
+        core.listener.set_accepting(False)
+    plan = plan_shutdown(context.deployment.settings, handed_over=is_handed_over)
+    started_us = context.clock.now_us()
+    context.controller.post(plan.drain)
+    for part in parts:
+        part.begin_shutdown()
+    await _serve_to_the_end(core, plan, started_us, is_listening=not is_handed_over)
+    for part in reversed(parts):
+        part.stop()
+    core.log_totals("proxy_stopped")
+
+
+async def _serve_to_the_end(core: ProxyCore, plan: ShutdownPlan, started_us: int, *, is_listening: bool) -> None:
+    """Wait until all connections have ended, at least for the plan's shortest duration and at most for its longest."""
+    while True:
+        elapsed_us = core.context.clock.now_us() - started_us
+        if elapsed_us >= plan.max_duration_us:
+            return
+        if is_listening and elapsed_us >= plan.min_duration_us - BACKLOG_LEAD_US:
+            is_listening = False
+            await core.listener.close()
+        if elapsed_us >= plan.min_duration_us and not core.listener.open_connections:
+            return
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/stoatgw/suspension/__init__.py
+++ b/stoatgw/suspension/__init__.py
@@ -1,5 +1,7 @@
-"""Session servers taken out by hand.
+"""Session servers that operators, or a maintenance, have suspended.
 
-`overlay` lays the bans over what discovery says, without IO; `store` keeps them in one file that all processes of a
-proxy share, and that outlives each of them. What leaves and comes back reaches the module as news of the list.
+`overrides` lays the suspensions over discovery's endpoint list, without IO; `store` keeps the operators' ones in one
+file that all processes of a proxy share and that outlives each of them; `service` changes and polls that file, and
+`applier` brings each change to the controller. A suspended server gets no new requests until it is resumed, whatever
+discovery says; who may suspend a server, and how the call arrives, is left to `management` and `maintenance`.
 """
--- a/stoatgw/suspension/service.py
+++ b/stoatgw/suspension/service.py
@@ -1,81 +1,114 @@
-"""Bans as calls give them and as the shared file holds them, brought to the director and the owner."""
+"""The operators' suspensions: changed by calls and by the shared file, brought to the applier."""
 
 from __future__ import annotations
 
 from pathlib import Path
 
 from stoatgw.clock import Clock
-from stoatgw.discovery.client import DiscoveryClient
+from stoatgw.discovery.publisher import EndpointPublisher
 from stoatgw.suspension.applier import SuspensionApplier
-from stoatgw.suspension.overrides import SuspensionSource
-from stoatgw.suspension.store import SuspensionStore, SuspensionStoreError
+from stoatgw.suspension.overrides import Suspensions, SuspensionSource
+from stoatgw.suspension.store import FileVersion, SuspensionStore, SuspensionStoreError
 from stoatgw.telemetry.log import EventLog
 
-LOOK_S = 0.2  # a call to the other process of this proxy binds here within so long
+POLL_INTERVAL_S = 0.2  # a call to the other process of this proxy takes effect here within so long
+
+
+class SuspensionNotPersistedError(Exception):
+    """A server is suspended, but in this process alone; the message says why."""
+
+
+class StillSuspendedError(Exception):
+    """A server could not be resumed; the message says why."""
 
 
 class SuspensionService:
+    """Suspends and resumes session servers for an operator, in all processes of this proxy."""
+
     def __init__(
-        self, folder: str | None, outs: SuspensionApplier, director: DiscoveryClient, clock: Clock, log: EventLog
+        self, folder: str | None, applier: SuspensionApplier, publisher: EndpointPublisher, clock: Clock, log: EventLog
     ) -> None:
+        """Prepare the service.
+
+        Args:
+            folder: Where the shared file is; None, and suspensions hold in this process alone.
+            applier: Brings the suspensions to all who go by them.
+            publisher: Knows which session servers there are.
+            clock: Tells since when a server is suspended.
+            log: Gets an event for each failure of the shared file.
+        """
         self._store = SuspensionStore(Path(folder)) if folder else None
-        self._outs, self._overlay, self._director = outs, outs.overrides, director
-        self._clock, self._log = clock, log
-        self._seen: tuple[int, int, int] | None = None
+        self._applier = applier
+        self._overrides = applier.overrides
+        self._publisher = publisher
+        self._clock = clock
+        self._log = log
+        self._applied_version: FileVersion | None = None
 
     def start(self) -> None:
-        """What was out before this process began is out, before it hears of any list."""
+        """Restore what was suspended before this process began; to be called before the first endpoint list."""
         if self._store is None:
             self._log.event("suspension_write_failed", error="TMPDIR is not set")
         self.poll()
 
-    def has_server(self, name: str) -> bool:
-        """Whether there is such a session server, in the list or out by hand."""
-        return self._director.publisher.has_endpoint(name) or name in self._overlay.suspensions
+    def has_server(self, server: str) -> bool:
+        """Whether there is such a session server, in the endpoint list or suspended."""
+        return self._publisher.has_endpoint(server) or server in self._overrides.suspensions
 
-    def suspend(self, name: str) -> str:
-        """Out from now on; gives why that would not outlive this process, if so."""
-        now_us, why = self._clock.now_us(), ""
-        bans = dict(self._overlay.suspensions_from(SuspensionSource.OPERATOR))
-        bans.setdefault(name, now_us)
-        if self._store is not None:
-            try:
-                bans = self._store.change(name, bans[name])
-            except SuspensionStoreError as fault:
-                why = str(fault)
-                self._log.event("suspension_write_failed", error=why)
-        self._apply(bans)
-        return why
-
-    def resume(self, name: str) -> str:
-        """Used again from now on; gives why not, if so, and then nothing has changed."""
-        bans = {
-            each: since_us
-            for each, since_us in self._overlay.suspensions_from(SuspensionSource.OPERATOR).items()
-            if each != name
-        }
+    def suspend(self, server: str) -> None:
+        """Suspend a server from now on.
+
+        Raises:
+            SuspensionNotPersistedError: It is suspended, but only while this process lives.
+        """
+        now_us = self._clock.now_us()
+        suspensions = dict(self._overrides.suspensions_from(SuspensionSource.OPERATOR))
+        suspensions.setdefault(server, now_us)
+        if self._store is None:
+            self._apply(suspensions)
+            return
+        try:
+            suspensions = self._store.suspend(server, suspensions[server])
+        except SuspensionStoreError as error:
+            self._log.event("suspension_write_failed", error=str(error))
+            self._apply(suspensions)
+            raise SuspensionNotPersistedError(str(error)) from error
+        self._apply(suspensions)
+
+    def resume(self, server: str) -> None:
+        """Use a server again from now on.
+
+        Raises:
+            StillSuspendedError: The shared file cannot be changed, or a maintenance has the server suspended.
+        """
+        suspensions = dict(self._overrides.suspensions_from(SuspensionSource.OPERATOR))
+        suspensions.pop(server, None)
         if self._store is not None:
             try:
-                bans = self._store.change(name, None)
-            except SuspensionStoreError as fault:
-                self._log.event("suspension_write_failed", error=str(fault))
-                return str(fault)
-        self._apply(bans)
-        return "the maintenance has it out" if name in self._overlay.suspensions else ""
-
-    def _apply(self, bans: dict[str, int]) -> None:
-        self._outs.apply(bans, SuspensionSource.OPERATOR)
-        if self._store is not None:
-            self._seen = self._store.seen()
+                suspensions = self._store.resume(server)
+            except SuspensionStoreError as error:
+                self._log.event("suspension_write_failed", error=str(error))
+                raise StillSuspendedError(str(error)) from error
+        self._apply(suspensions)
+        if server in self._overrides.suspensions:
+            raise StillSuspendedError("the maintenance has it out")
 
     def poll(self) -> None:
-        """To be called every LOOK_S: the other process of this proxy may have been told."""
-        if self._store is None or (seen := self._store.seen()) == self._seen:
+        """Take over what another process of this proxy has changed; to be called every POLL_INTERVAL_S."""
+        if self._store is None:
+            return
+        version = self._store.version()
+        if version == self._applied_version:
             return
-        self._seen = seen
+        self._applied_version = version
         try:
-            bans = self._store.load()
-        except SuspensionStoreError as fault:  # what is out here stays out
-            self._log.event("suspension_read_failed", error=str(fault))
+            suspensions = self._store.load()
+        except SuspensionStoreError as error:  # what is suspended here stays so
+            self._log.event("suspension_read_failed", error=str(error))
             return
-        self._apply(bans)
+        self._apply(suspensions)
+
+    def _apply(self, suspensions: Suspensions) -> None:
+        self._applier.apply(suspensions, SuspensionSource.OPERATOR)
+        if self._store is not None:
+            self._applied_version = self._store.version()
--- a/stoatgw/suspension/store.py
+++ b/stoatgw/suspension/store.py
@@ -1,83 +1,133 @@
-"""The bans in one small file: versioned, checksummed, written whole, renamed into place, changed under a lock."""
+"""The operators' suspensions in one small file: versioned, checksummed, replaced in one step, changed under a lock."""
 
 from __future__ import annotations
 
 import fcntl
 import os
+from collections.abc import Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
 from pathlib import Path
 
 import orjson
 
-from stoatgw.atomic_file import frame, unframe, write_atomically
+from stoatgw.atomic_file import closing_descriptor, frame, unframe, write_atomically
 from stoatgw.suspension.overrides import Suspensions
 
-NAME = "stoatgw-suspended"
-HEAD = b"stoatgw-suspended 1 "  # its version; the checksum of the rest follows
-SIZE_MOST = 1 << 20
+FILE_NAME = "stoatgw-suspended"
+HEADER = b"stoatgw-suspended 1 "  # its version; the checksum of the rest follows
+MAX_FILE_BYTES = 1 << 20
 
 
 class SuspensionStoreError(Exception):
-    """The file cannot be read or written; the message names it and says why."""
+    """The suspensions cannot be read or written.
 
+    Attributes:
+        file: The file's name, without its folder.
+        reason: What is wrong with it.
+    """
 
-def encode(bans: Suspensions) -> bytes:
-    body = orjson.dumps(dict(bans), option=orjson.OPT_SORT_KEYS)
-    return frame(HEAD, body)
+    def __init__(self, file: str, reason: str) -> None:
+        super().__init__(f"{file}: {reason}")
+        self.file = file
+        self.reason = reason
+
+
+@dataclass(frozen=True, slots=True)
+class FileVersion:
+    """Differs whenever the file has been replaced."""
+
+    inode: int
+    modified_ns: int
+    size_bytes: int
+
+
+def encode(suspensions: Suspensions) -> bytes:
+    """The file's bytes."""
+    body = orjson.dumps(dict(suspensions), option=orjson.OPT_SORT_KEYS)
+    return frame(HEADER, body)
 
 
 def decode(data: bytes) -> dict[str, int]:
-    """Raises ValueError."""
-    bans = orjson.loads(unframe(HEAD, data, "is none of ours"))
-    if not isinstance(bans, dict) or not all(type(since_us) is int for since_us in bans.values()):
+    """The suspensions that the file's bytes hold.
+
+    Raises:
+        ValueError: The bytes are no such file, or damaged.
+    """
+    suspensions = orjson.loads(unframe(HEADER, data, "is none of ours"))
+    if not isinstance(suspensions, dict) or not all(type(since_us) is int for since_us in suspensions.values()):
         raise ValueError("holds no bans")
-    return bans
+    return suspensions
 
 
 class SuspensionStore:
+    """The shared file. Another process of this proxy may change it at any time."""
+
     def __init__(self, folder: Path) -> None:
-        self._path, self._lock = folder / NAME, folder / f"{NAME}.lock"
+        self._path = folder / FILE_NAME
+        self._lock_path = folder / f"{FILE_NAME}.lock"
 
-    def seen(self) -> tuple[int, int, int] | None:
-        """Changes whenever the file does; None without one."""
+    def version(self) -> FileVersion | None:
+        """What tells one state of the file from another; None without a file."""
         try:
             stat = self._path.stat()
         except OSError:
             return None
-        return stat.st_ino, stat.st_mtime_ns, stat.st_size
+        return FileVersion(stat.st_ino, stat.st_mtime_ns, stat.st_size)
 
     def load(self) -> dict[str, int]:
-        """Raises StoreError. No file: no bans."""
+        """All suspensions; none without a file.
+
+        Raises:
+            SuspensionStoreError: The file cannot be read; it is left as it is.
+        """
         try:
             with self._path.open("rb") as file:
-                return decode(file.read(SIZE_MOST))
+                return decode(file.read(MAX_FILE_BYTES))
         except FileNotFoundError:
             return {}
-        except OSError as fault:
-            raise SuspensionStoreError(f"{self._path.name}: cannot be read: {fault.strerror}") from None
-        except ValueError as fault:
-            raise SuspensionStoreError(f"{self._path.name}: {fault}") from None
-
-    def change(self, name: str, since_us: int | None) -> dict[str, int]:
-        """Ban a server since then, or (None) no longer; gives all bans. Raises StoreError, with nothing changed."""
+        except OSError as error:
+            raise SuspensionStoreError(self._path.name, f"cannot be read: {error.strerror}") from error
+        except ValueError as error:
+            raise SuspensionStoreError(self._path.name, str(error)) from error
+
+    def suspend(self, server: str, since_us: int) -> dict[str, int]:
+        """Add a server, unless it is suspended already; returns all suspensions.
+
+        Raises:
+            SuspensionStoreError: The file cannot be read or written; nothing has changed.
+        """
+        with self._locked():
+            suspensions = self.load()
+            suspensions.setdefault(server, since_us)
+            self._write(suspensions)
+            return suspensions
+
+    def resume(self, server: str) -> dict[str, int]:
+        """Remove a server, if it is suspended; returns all suspensions.
+
+        Raises:
+            SuspensionStoreError: The file cannot be read or written; nothing has changed.
+        """
+        with self._locked():
+            suspensions = self.load()
+            suspensions.pop(server, None)
+            self._write(suspensions)
+            return suspensions
+
+    @contextmanager
+    def _locked(self) -> Iterator[None]:
+        """Keep other processes from changing the file; each holds the lock for one small write."""
         try:
-            lock = os.open(self._lock, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        except OSError as fault:
-            raise SuspensionStoreError(f"{self._lock.name}: {fault.strerror}") from None
-        try:
-            # Another process of this proxy may change it as well; each holds the lock for one small write.
+            lock = os.open(self._lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        except OSError as error:
+            raise SuspensionStoreError(self._lock_path.name, str(error.strerror)) from error
+        with closing_descriptor(lock):
             fcntl.flock(lock, fcntl.LOCK_EX)
-            bans = self.load()
-            if since_us is None:
-                bans.pop(name, None)
-            else:
-                bans.setdefault(name, since_us)
-            self._write(encode(bans))
-            return bans
-        finally:
-            os.close(lock)
-
-    def _write(self, data: bytes) -> None:
+            yield
+
+    def _write(self, suspensions: Suspensions) -> None:
         try:
-            write_atomically(self._path, data)
-        except OSError as fault:
-            raise SuspensionStoreError(f"{self._path.name}: cannot be written: {fault.strerror}") from None
+            write_atomically(self._path, encode(suspensions))
+        except OSError as error:
+            raise SuspensionStoreError(self._path.name, f"cannot be written: {error.strerror}") from error
