--- a/stoatgw/hot_restart/handover.py
+++ b/stoatgw/hot_restart/handover.py
@@ -6,12 +6,12 @@
 
 from stoatgw.hot_restart.sibling_processes import ProcessRecord
 
-LOAD_LEARNING_US = 500_000  # a process beside an older one first learns for so long how loaded the servers are
+LOAD_LEARNING_US = 500_000  # a process that will take over first learns for so long how loaded the servers are
 ENDPOINT_LIST_WAIT_US = 2_500_000  # with a cached list it waits for a new one for so long; the platform gives it 6 s
 
 
 def may_start_accepting(started_us: int, first_update_us: int | None, *, has_endpoints: bool, now_us: int) -> bool:
-    """Whether a process that started beside another may accept.
+    """Whether a process that started while another one accepted may accept.
 
     Args:
         started_us: When it started.
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -12,7 +12,7 @@
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
 
 POLL_INTERVAL_S = 0.1
-BASE_DESCRIPTORS = 24  # of a process, beside those of its clients
+BASE_DESCRIPTORS = 24  # of a process, in addition to those of its clients
 
 READ_FAILED = "siblings_read_failed"
 PUBLISH_FAILED = "sibling_publish_failed"
--- a/stoatgw/service/core.py
+++ b/stoatgw/service/core.py
@@ -82,14 +82,7 @@
         on_draining=lambda backend: health_checker.close(backend.name),
         override=overrides.apply,
     )
-    discovery = DiscoveryClient(
-        deployment.discovery_address,
-        EndpointListParser(deployment.zones, deployment.machine_types),
-        publisher,
-        Backoff(settings.balancers, random.Random(deployment.seed), pushed=not settings.must_subscribe),
-        log,
-        counters,
-    )
+    discovery = _build_discovery(deployment, publisher, log, counters)
     descriptor_limiter = DescriptorLimiter(_max_client_descriptors(deployment))
     context = ProxyContext(
         deployment, controller, backends, clock, load_reports.to_row, counters, log, descriptor_limiter
@@ -106,6 +99,15 @@
     )
 
 
+def _build_discovery(
+    deployment: Deployment, publisher: EndpointPublisher, log: EventLog, counters: Counters
+) -> DiscoveryClient:
+    settings = deployment.settings
+    parser = EndpointListParser(deployment.zones, deployment.machine_types)
+    backoff = Backoff(settings.balancers, random.Random(deployment.seed), pushed=not settings.must_subscribe)
+    return DiscoveryClient(deployment.discovery_address, parser, publisher, backoff, log, counters)
+
+
 def _max_client_descriptors(deployment: Deployment) -> int:
     if deployment.management_address is None:
         return deployment.max_sockets
--- a/stoatgw/suspension/store.py
+++ b/stoatgw/suspension/store.py
@@ -97,11 +97,9 @@
         Raises:
             SuspensionStoreError: The file cannot be read or written; nothing has changed.
         """
-        with self._locked():
-            suspensions = self.load()
+        with self._changing() as suspensions:
             suspensions.setdefault(server, since_us)
-            self._write(suspensions)
-            return suspensions
+        return suspensions
 
     def resume(self, server: str) -> dict[str, int]:
         """Remove a server, if it is suspended; returns all suspensions.
@@ -109,22 +107,22 @@
         Raises:
             SuspensionStoreError: The file cannot be read or written; nothing has changed.
         """
-        with self._locked():
-            suspensions = self.load()
+        with self._changing() as suspensions:
             suspensions.pop(server, None)
-            self._write(suspensions)
-            return suspensions
+        return suspensions
 
     @contextmanager
-    def _locked(self) -> Iterator[None]:
-        """Keep other processes from changing the file; each holds the lock for one small write."""
+    def _changing(self) -> Iterator[dict[str, int]]:
+        """All suspensions, written back at the end of the block; other processes wait for that one small write."""
         try:
             lock = os.open(self._lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
             raise SuspensionStoreError(self._lock_path.name, str(error.strerror)) from error
         with closing_descriptor(lock):
             fcntl.flock(lock, fcntl.LOCK_EX)
-            yield
+            suspensions = self.load()
+            yield suspensions
+            self._write(suspensions)
 
     def _write(self, suspensions: Suspensions) -> None:
         try:
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -173,7 +173,7 @@
     old, port = await platform.start_process()
     await platform.wait_for_readiness(port)
     clients = [asyncio.ensure_future(platform.run_client()) for _ in range(5)]
-    # Connected before the change, asks after it: it may not end at the door.
+    # Connected before the handover, sends its request after it: it has to be served.
     early = await asyncio.open_connection(*platform.listening.getsockname())
     await asyncio.sleep(0.1)
     new, port = await platform.start_process()
@@ -185,11 +185,13 @@
     early[1].write(open_line(99))
     assert (await early[0].readline()).startswith(b"UP")
     assert await early[0].readline() == b"MOVE\r\n"
-    assert (await next_event(old.stdout, "proxy_stopped"))["connections"] == 6  # whoever came later is the other's
+    assert (await next_event(old.stdout, "proxy_stopped"))[
+        "connections"
+    ] == 6  # the other process accepted all later ones
     assert await old.wait() == 0
     assert [await each for each in clients] == [b"MOVE\r\n"] * 5
     assert (await platform.first_line(b"PING\r\n"))[0] == b"PONG\r\n"
-    # One more beside it that dies before its yes: the one that serves goes on.
+    # Another process that is killed before it is ready: the one that serves goes on.
     third, _ = await platform.start_process()
     third.kill()
     await third.wait()
@@ -270,13 +272,13 @@
         first, port = await platform.start_process()
         await platform.wait_for_readiness(port)
         second, port = await platform.start_process()
-        first.kill()  # before the other's yes
+        first.kill()  # before the other is ready
         await platform.wait_for_readiness(port)
         third, port = await platform.start_process()
         await platform.wait_for_readiness(port)
         second.send_signal(signal.SIGTERM)
-        second.kill()  # in mid-move
-        fourth, port = await platform.start_process()  # and the next upgrade at once
+        second.kill()  # while it migrates its sessions
+        fourth, port = await platform.start_process()  # and the next hot restart at once
         await platform.wait_for_readiness(port)
         third.send_signal(signal.SIGTERM)
         assert await third.wait() == 0
