--- a/stoatgw/line_protocol/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -1,4 +1,9 @@
-"""The words of the line protocol: OPEN from clients, replies from session servers. No sockets."""
+"""The lines of the protocol: requests of clients, replies of session servers, the proxy's own answers. No sockets.
+
+client            OPEN id key name=value,...
+session server    UP ..., then lines of its own, LOAD number, MOVE, BYE; or BUSY, ERR
+proxy             BUSY [milliseconds], ERR reason, MOVE, PONG
+"""
 
 from __future__ import annotations
 
@@ -8,115 +13,54 @@
 from dataclasses import dataclass
 from enum import Enum
 
-PING, PONG, STATS, MOVE = b"PING", b"PONG", b"STATS", b"MOVE"
-NUMBER_MAX = 2**53
+PING = b"PING"
+PONG = b"PONG"
+STATS = b"STATS"
+MOVE = b"MOVE"
+OPEN = b"OPEN"
+MAX_NUMBER = 2**53
+FLAG_VALUES = ("0", "1")
 
-_ID = re.compile(rb"[0-9a-fA-F]{16}\Z")
-_HEX = re.compile(rb"[0-9a-fA-F]{1,16}\Z")
-_WORD = rb"[!-+\--~]+"  # a value as it is in most lines: no blank, no comma
-_DIGITS = re.compile(rb"[0-9]{1,15}\Z")
+_REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}\Z")
+_IDEMPOTENCY_KEY = re.compile(rb"[0-9a-fA-F]{1,16}\Z")
+_HEX = re.compile(r"[0-9a-fA-F]{1,16}\Z")
+_DIGITS = re.compile(r"[0-9]{1,15}\Z")
+_PLAIN_VALUE = rb"[!-+\--~]+"  # printable ASCII without blank and comma
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedRequest:
-    """A line that cannot be read, and why."""
+    """A client's line that cannot be served as it is, and why: the client's fault."""
 
     reason: str
-    class_name: str = ""  # its class, where the line was a request but for this
+    class_name: str = ""  # the request's class, where the line could be parsed but is not acceptable
 
 
-@dataclass(slots=True)  # one is made for each request, and a frozen one takes three times as long
+@dataclass(slots=True)  # not frozen: that would triple the time to construct one, which each request does
 class SessionRequest:
     """A client's first line."""
 
     line: bytes
     request_id: str
     idempotency_key: int
-    class_name: str
-    timeout_ms: int
-    group: int | None
-    load_hint: float | None
-    is_client_retry: bool
-    is_returning: bool
-    restore_at: str | None
-    tenant: str = ""  # "": the line names none
+    class_name: str  # c
+    timeout_ms: int  # d: how long the client waits for UP
+    group: int | None  # g
+    load_hint: float | None  # h
+    is_client_retry: bool  # r
+    is_returning: bool  # again
+    restore_at: str | None  # at: the session server on which the session was established before
+    tenant: str = ""  # t; "" if the line names none
     timeout_span: tuple[int, int] = (0, 0)  # where in the line the value of `d` is
 
     def encode(self, timeout_ms: int) -> bytes:
-        """The line for a session server: the client's own, but for `d`."""
-        begin, end = self.timeout_span
-        return b"%s%d%s\r\n" % (self.line[:begin], timeout_ms, self.line[end:])
-
-
-def field_pattern(names: Iterable[str] = ()) -> re.Pattern[bytes]:
-    """How a field reads where the settings have these names of classes and tenants.
-
-    Only those may hold blanks, commas or letters beyond ASCII: in any other value these are a bad client's.
-    """
-    odd = {name.encode() for name in names if name.isprintable() and not re.fullmatch(_WORD, name.encode())}
-    known = b"|".join(re.escape(name) for name in sorted(odd, key=len, reverse=True))
-    named = b"([ct])=(%s)|" % known if known else b"()()(?!)|"
-    return re.compile(b"(?:%s([A-Za-z_][A-Za-z0-9_.-]*)=(%s))(?:,(?!\\Z)|\\Z)" % (named, _WORD))
-
-
-PLAIN = field_pattern()
-
-
-def parse_session_request(line: bytes, field: re.Pattern[bytes] = PLAIN) -> SessionRequest | MalformedRequest:
-    """Read `OPEN id key name=value,...`; unknown names are passed over."""
-    words = line.split(b" ", 3)
-    if words[0] != b"OPEN" or len(words) != 4:
-        return MalformedRequest("not an OPEN line")
-    _, request, key, rest = words
-    if not _ID.match(request) or not _HEX.match(key):
-        return MalformedRequest("id or key is not hex")
-    fields: dict[bytes, bytes] = {}
-    at, timeout_span = len(line) - len(rest), (0, 0)
-    while at < len(line) or not rest:
-        found = field.match(line, at)
-        name = found and (found[1] or found[3])
-        if not found or not name or name in fields:
-            return MalformedRequest("a field is no name=value, or comes twice")
-        fields[name] = found[2] or found[4]
-        if name == b"d":
-            timeout_span = found.span(4)
-        at = found.end()
-    text = {name.decode(): value.decode() for name, value in fields.items()}
-    if "c" not in text or not _DIGITS.match(fields.get(b"d", b"")):
-        return MalformedRequest("field c or d is missing or no number")
-    if b"g" in fields and not _HEX.match(fields[b"g"]):
-        return MalformedRequest("field g is not hex")
-    hint = parse_number(text["h"]) if "h" in text else None
-    if "h" in text and (hint is None or hint < 0):
-        return MalformedRequest("field h is no number, or under 0")
-    if any(text.get(flag, "0") not in ("0", "1") for flag in ("r", "again")):
-        return MalformedRequest("field r or again is neither 0 nor 1")
-    return SessionRequest(
-        line=line,
-        request_id=request.decode("ascii"),
-        idempotency_key=int(key, 16),
-        class_name=text["c"],
-        timeout_ms=int(text["d"]),
-        group=int(text["g"], 16) if "g" in text else None,
-        load_hint=hint,
-        is_client_retry=text.get("r") == "1",
-        is_returning=text.get("again") == "1",
-        restore_at=text.get("at"),
-        tenant=text.get("t", ""),
-        timeout_span=timeout_span,
-    )
-
-
-def parse_number(text: str) -> float | None:
-    try:
-        value = float(text)
-    except ValueError:
-        return None
-    return value if math.isfinite(value) and abs(value) < NUMBER_MAX else None
+        """Return the line for a session server: the client's own, with this timeout."""
+        start, end = self.timeout_span
+        return b"%s%d%s\r\n" % (self.line[:start], timeout_ms, self.line[end:])
 
 
 class Keyword(Enum):
-    """What a line of a session server says."""
+    """The first word of a session server's line."""
 
     UP = "UP"
     BYE = "BYE"
@@ -125,10 +69,10 @@
     BUSY = "BUSY"
     PONG = "PONG"
     LOAD = "LOAD"
-    OTHER = ""
+    OTHER = ""  # a line of the session itself; before UP a violation by the session server
 
 
-WORDS = {word.value.encode(): word for word in Keyword if word.value}
+_KEYWORDS = {keyword.value.encode(): keyword for keyword in Keyword if keyword is not Keyword.OTHER}
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,29 +84,126 @@
 
     @property
     def load_report(self) -> dict[str, float]:
+        """The fields as numbers by name."""
         return parse_load_report(self.fields)
 
 
+def field_pattern(names: Iterable[str] = ()) -> re.Pattern[bytes]:
+    """Return the pattern of one field where the settings name these classes and tenants.
+
+    Only those may hold blanks, commas or letters beyond ASCII: in any other value these make the line malformed.
+    The groups are name and value of a field with such a name (1, 2), or of any other field (3, 4).
+    """
+    unusual = {name.encode() for name in names if name.isprintable() and not re.fullmatch(_PLAIN_VALUE, name.encode())}
+    longest_first = b"|".join(re.escape(name) for name in sorted(unusual, key=len, reverse=True))
+    named_field = b"([ct])=(%s)" % longest_first if longest_first else b"()()(?!)"
+    return re.compile(b"(?:%s|([A-Za-z_][A-Za-z0-9_.-]*)=(%s))(?:,(?!\\Z)|\\Z)" % (named_field, _PLAIN_VALUE))
+
+
+PLAIN_FIELD = field_pattern()
+
+
+def parse_session_request(line: bytes, field: re.Pattern[bytes] = PLAIN_FIELD) -> SessionRequest | MalformedRequest:
+    """Parse `OPEN id key name=value,...`; fields of unknown name are ignored.
+
+    Args:
+        line: The line without its CRLF.
+        field: What `field_pattern` gave for the settings' names.
+    """
+    words = line.split(b" ", 3)
+    if words[0] != OPEN or len(words) != 4:
+        return MalformedRequest("not an OPEN line")
+    _, request_id, key, rest = words
+    if not _REQUEST_ID.match(request_id) or not _IDEMPOTENCY_KEY.match(key):
+        return MalformedRequest("id or key is not hex")
+    matches = _match_fields(line, len(line) - len(rest), field)
+    if matches is None:
+        return MalformedRequest("a field is no name=value, or comes twice")
+    fields = {name.decode(): (match[2] or match[4]).decode() for name, match in matches.items()}
+    reason = _find_invalid_field(fields)
+    if reason:
+        return MalformedRequest(reason)
+    return SessionRequest(
+        line=line,
+        request_id=request_id.decode("ascii"),
+        idempotency_key=int(key, 16),
+        class_name=fields["c"],
+        timeout_ms=int(fields["d"]),
+        group=int(fields["g"], 16) if "g" in fields else None,
+        load_hint=float(fields["h"]) if "h" in fields else None,
+        is_client_retry=fields.get("r") == "1",
+        is_returning=fields.get("again") == "1",
+        restore_at=fields.get("at"),
+        tenant=fields.get("t", ""),
+        timeout_span=matches[b"d"].span(4),
+    )
+
+
+def _match_fields(line: bytes, start: int, field: re.Pattern[bytes]) -> dict[bytes, re.Match[bytes]] | None:
+    """Return the matches of the line's fields from `start` on, by name; None if a field is malformed or comes twice."""
+    matches: dict[bytes, re.Match[bytes]] = {}
+    position = start
+    while position < len(line) or position == start:
+        match = field.match(line, position)
+        if match is None:
+            return None
+        name = match[1] or match[3]
+        if name in matches:
+            return None
+        matches[name] = match
+        position = match.end()
+    return matches
+
+
+def _find_invalid_field(fields: dict[str, str]) -> str:
+    """Return what is wrong with the fields, "" if nothing is."""
+    if "c" not in fields or not _DIGITS.match(fields.get("d", "")):
+        return "field c or d is missing or no number"
+    if "g" in fields and not _HEX.match(fields["g"]):
+        return "field g is not hex"
+    if "h" in fields:
+        load_hint = parse_number(fields["h"])
+        if load_hint is None or load_hint < 0:
+            return "field h is no number, or under 0"
+    if fields.get("r", "0") not in FLAG_VALUES or fields.get("again", "0") not in FLAG_VALUES:
+        return "field r or again is neither 0 nor 1"
+    return ""
+
+
 def parse_reply(line: bytes) -> Reply:
+    """Parse a session server's line without its CRLF; one without a keyword is `Keyword.OTHER`."""
     word, _, rest = line.partition(b" ")
-    return Reply(WORDS.get(word, Keyword.OTHER), rest.decode("ascii", "replace"))
+    return Reply(_KEYWORDS.get(word, Keyword.OTHER), rest.decode("ascii", "replace"))
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """`inflight=7,util=0.61`; what is no number is left out."""
+    """Parse `inflight=7,util=0.61`; what is not a number is omitted."""
     report: dict[str, float] = {}
     for part in text.split(","):
-        name, found, number = part.strip().partition("=")
-        value = parse_number(number) if found else None
+        name, separator, number = part.strip().partition("=")
+        value = parse_number(number) if separator else None
         if name and value is not None:
             report[name] = value
     return report
 
 
+def parse_number(text: str) -> float | None:
+    """Return the number, None if the text is none, not finite or too large to be exact."""
+    try:
+        value = float(text)
+    except ValueError:
+        return None
+    return value if math.isfinite(value) and abs(value) < MAX_NUMBER else None
+
+
 def encode_busy(retry_after_us: int) -> bytes:
-    """The refusal, with its advice in whole milliseconds."""
-    return b"BUSY %d\r\n" % -(-retry_after_us // 1000) if retry_after_us > 0 else b"BUSY\r\n"
+    """Encode the rejection, with the delay before a retry rounded up to milliseconds; 0: without one."""
+    if retry_after_us <= 0:
+        return b"BUSY\r\n"
+    retry_after_ms = (retry_after_us + 999) // 1000
+    return b"BUSY %d\r\n" % retry_after_ms
 
 
-def encode_error(why: str) -> bytes:
-    return b"ERR " + why.encode("ascii", "replace") + b"\r\n"
+def encode_error(reason: str) -> bytes:
+    """Encode the answer to a request that cannot be served."""
+    return b"ERR " + reason.encode("ascii", "replace") + b"\r\n"
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -1,43 +1,45 @@
-"""Bytes into lines, whatever way they were cut. No sockets."""
+"""A stream of bytes split into lines, however it was cut. No sockets."""
 
 from __future__ import annotations
 
-MAX_LINE_BYTES = 4096  # bytes in a line, its CRLF included
+MAX_LINE_BYTES = 4096  # its CRLF included
 
 
 class LineSplitter:
-    """Gives whole lines without their CRLF; keeps the rest for later."""
+    """Gives complete lines without their CRLF, and keeps the rest for later."""
 
-    def __init__(self, cap: int = MAX_LINE_BYTES) -> None:
-        self._cap = cap
-        self._rest = bytearray()
-        self.is_overlong = False  # a line went over the cap: nothing more is read
+    def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
+        self._max_line_bytes = max_line_bytes
+        self._buffer = bytearray()
+        self.is_overlong = False
+        """A line exceeded the limit: nothing more is read."""
+
+    @property
+    def trailing_data(self) -> bytes:
+        """What came after the last complete line."""
+        return bytes(self._buffer)
 
     def receive_data(self, data: bytes | bytearray | memoryview) -> list[bytes]:
+        """Take bytes in and return the lines that they complete."""
         if self.is_overlong:
             return []
-        self._rest += data
-        if b"\n" not in self._rest:
-            # Guards against a peer that never ends its line: memory stays bounded.
-            self._check(len(self._rest))
+        self._buffer += data
+        if b"\n" not in self._buffer:
+            # A peer that never ends its line must not fill the memory.
+            self._check_length(len(self._buffer))
             return []
-        *lines, rest = self._rest.split(b"\n")
-        self._rest = rest
-        whole: list[bytes] = []
+        *lines, self._buffer = self._buffer.split(b"\n")
+        complete: list[bytes] = []
         for line in lines:
-            if not self._check(len(line) + 1):
-                return whole
-            whole.append(bytes(line[:-1] if line.endswith(b"\r") else line))
-        self._check(len(rest))
-        return whole
-
-    def _check(self, size: int) -> bool:
-        if size > self._cap:
+            if not self._check_length(len(line) + 1):
+                return complete
+            complete.append(bytes(line[:-1] if line.endswith(b"\r") else line))
+        self._check_length(len(self._buffer))
+        return complete
+
+    def _check_length(self, size_bytes: int) -> bool:
+        """Return whether a line of this length is allowed; give the stream up if not."""
+        if size_bytes > self._max_line_bytes:
             self.is_overlong = True
-            self._rest.clear()
+            self._buffer.clear()
         return not self.is_overlong
-
-    @property
-    def trailing_data(self) -> bytes:
-        """What came after the last whole line."""
-        return bytes(self._rest)
