--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -16,131 +16,185 @@
 from stoatgw.line_protocol.splitter import LineSplitter
 from stoatgw.sockets import tcp
 
-READ_SIZE_BYTES = 8192  # bytes read at once
-PARTING_MOST = 1 << 30  # a backend's bytes on their way, however many: its time is what bounds them
-REFUSALS = {
+READ_SIZE_BYTES = 8192
+MAX_DISCARDED_BYTES = 1 << 30  # however many bytes a backend still sends: the timeout bounds them
+MAX_REASON_BYTES = 60
+
+STATUS_BY_FIRST_REPLY = {
     Keyword.BYE: AttemptStatus.DELIVERED,
     Keyword.MOVE: AttemptStatus.REVOKED,
     Keyword.BUSY: AttemptStatus.SHED,
     Keyword.ERR: AttemptStatus.APP_ERROR,
 }
-Row = Callable[[dict[str, float]], tuple[float | None, ...]]
+STATUS_BY_LAST_LINE = {
+    Keyword.BYE: AttemptStatus.DELIVERED,
+    Keyword.MOVE: AttemptStatus.REVOKED,
+}
+LoadReportRow = Callable[[dict[str, float]], tuple[float | None, ...]]
 
 
 class RelayListener(Protocol):
-    """The client's side of a standing connection."""
+    """The client's side of an established session."""
 
-    def lines_received(self, lines: list[bytes]) -> None: ...
+    def lines_received(self, lines: list[bytes]) -> None:
+        """Observe complete lines of the backend; called before `forward` gets the bytes that complete them."""
+        ...
 
-    def forward(self, data: bytes) -> Awaitable[None]: ...
+    def forward(self, data: bytes) -> Awaitable[None]:
+        """Send the backend's bytes to the client, with backpressure."""
+        ...
 
 
 class Attempt:
+    """One attempt: `open`, then `relay` if it was established, then one of the ways to close."""
+
     def __init__(
-        self, backend: Backend, clock: Clock, dial_us: int, grace_us: int, row: Row, sent: Callable[[], None]
+        self,
+        backend: Backend,
+        clock: Clock,
+        connect_timeout_us: int,
+        drain_grace_us: int,
+        to_load_report_row: LoadReportRow,
+        on_sent: Callable[[], None],
     ) -> None:
-        self._backend, self._clock, self._row = backend, clock, row
-        self._dial_us, self._grace_us, self._sent = dial_us, grace_us, sent
+        """Prepare the attempt.
+
+        Args:
+            backend: The session server.
+            clock: What all deadlines are measured by.
+            connect_timeout_us: The time to connect in, if the deadline leaves as much.
+            drain_grace_us: How long a draining backend still accepts requests.
+            to_load_report_row: Puts a load report in the order of the settings' columns.
+            on_sent: Called when the request has been sent to its last byte.
+        """
+        self._backend = backend
+        self._clock = clock
+        self._connect_timeout_us = connect_timeout_us
+        self._drain_grace_us = drain_grace_us
+        self._to_load_report_row = to_load_report_row
+        self._on_sent = on_sent
         self._sock: socket.socket | None = None
         self._splitter = LineSplitter()
-        self._last = Keyword.OTHER
-        self._with_up: list[bytes] = []  # whole lines that came in one piece with UP
+        self._last_keyword = Keyword.OTHER
+        self._lines_after_up: list[bytes] = []  # that arrived in one piece with UP
         self.stage = AttemptStage.CONNECTING
-        self.established_data = b""  # the UP line and what came with it, as it came
-        self.was_reset = False  # the backend ended with a reset
-
-    async def open(self, line: Callable[[int], bytes], cut_at_us: int, begin_by_us: int = 0) -> AttemptEnd | None:
-        """Connect, send the line, wait for UP. None: it is up. `begin_by_us`: no line is sent later; 0: at any time."""
-        loop = asyncio.get_running_loop()
+        self.established_data = b""
+        """The UP line and what came with it, byte for byte."""
+        self.was_reset = False
+        """The backend ended the established session with a reset."""
+
+    async def open(
+        self, encode_request: Callable[[int], bytes], deadline_us: int, send_before_us: int = 0
+    ) -> AttemptEnd | None:
+        """Connect, send the request and wait for UP; None once the session is established.
+
+        Args:
+            encode_request: Gives the request's line for the milliseconds that are left.
+            deadline_us: When the attempt is given up.
+            send_before_us: The request is not sent at that time or later; 0: at any time.
+        """
         try:
-            sock = self._sock = tcp.create_socket()
-        except OSError as error:  # no descriptor is left: nothing is said of the backend
+            self._sock = tcp.create_socket()
+        except OSError as error:  # no descriptor is left: that says nothing about the backend
             return self._end(AttemptStatus.UNUSED, str(error))
         try:
-            wait_us = cut_at_us - self._clock.now_us()
-            async with asyncio.timeout(min(self._dial_us, wait_us) / 1e6) as limit:
-                await loop.sock_connect(sock, self._backend.address)
+            timeout_us = min(self._connect_timeout_us, deadline_us - self._clock.now_us())
+            async with asyncio.timeout(timeout_us / 1e6) as timeout:
+                await asyncio.get_running_loop().sock_connect(self._sock, self._backend.address)
                 now_us = self._clock.now_us()
-                # Guards the window of a repeat: connecting may have outlasted it.
-                if begin_by_us and now_us >= begin_by_us:
-                    return self._end(AttemptStatus.DIAL_FAILED, "too late to repeat")
-                # Guards the drain rule: connecting may have outlasted the grace.
-                if not self._backend.accepts_new_sessions(now_us, self._grace_us):
-                    return self._end(AttemptStatus.DIAL_FAILED, "it left meanwhile")
-                if now_us >= cut_at_us:
-                    return self._end(AttemptStatus.DIAL_FAILED, "no time left")
-                limit.reschedule(loop.time() + (cut_at_us - now_us) / 1e6)
-                self.stage = AttemptStage.SENDING
-                await tcp.send_all(sock, line((cut_at_us - now_us) // 1000))
-                self.stage = AttemptStage.SENT
-                self._sent()
-                return await self._first(loop, sock)
+                obstacle = self._find_obstacle(now_us, deadline_us, send_before_us)
+                if obstacle:
+                    return self._end(AttemptStatus.DIAL_FAILED, obstacle)
+                timeout.reschedule(asyncio.get_running_loop().time() + (deadline_us - now_us) / 1e6)
+                await self._send_request(self._sock, encode_request((deadline_us - now_us) // 1000))
+                return await self._receive_first_reply(self._sock)
         except TimeoutError:
-            status = AttemptStatus.EXPIRED if self.stage is AttemptStage.SENT else AttemptStatus.DIAL_FAILED
-            return self._end(status, "timed out")
+            return self._end(self._failure_status(AttemptStatus.EXPIRED), "timed out")
         except OSError as error:
-            # A line that was not wholly written never ran.
-            status = AttemptStatus.DROPPED if self.stage is AttemptStage.SENT else AttemptStatus.DIAL_FAILED
-            return self._end(status, str(error))
-
-    async def _first(self, loop: asyncio.AbstractEventLoop, sock: socket.socket) -> AttemptEnd | None:
-        while True:
-            data = await loop.sock_recv(sock, READ_SIZE_BYTES)
-            if not data:
-                return self._end(AttemptStatus.DROPPED, "ended without a word")
-            self.established_data += data
-            lines = self._splitter.receive_data(data)
-            if lines:
-                reply = parse_reply(lines[0])
-                if reply.keyword is Keyword.UP:
-                    self.stage = AttemptStage.ESTABLISHED
-                    self._with_up = lines[1:]
-                    return None
-                status = REFUSALS.get(reply.keyword, AttemptStatus.APP_ERROR)
-                return self._end(status, lines[0][:60].decode("ascii", "replace"), reply.load_report)
-            if self._splitter.is_overlong:
-                return self._end(AttemptStatus.APP_ERROR, "overlong line")
+            return self._end(self._failure_status(AttemptStatus.DROPPED), str(error))
 
     async def relay(self, listener: RelayListener) -> AttemptEnd:
-        """Pass all on until the backend ends the connection."""
+        """Forward all lines of an established session until the backend ends the connection."""
         loop = asyncio.get_running_loop()
-        assert self._sock is not None  # it is up
+        assert self._sock is not None, "relay comes after open"
         try:
-            self._hear(self._with_up, listener)
-            # No buffer is held while nothing comes: most connections wait most of the time.
+            self._notify(listener, self._lines_after_up)
+            # No buffer is kept while nothing arrives: most sessions are idle most of the time.
             while data := await loop.sock_recv(self._sock, READ_SIZE_BYTES):
-                self._hear(self._splitter.receive_data(data), listener)
+                self._notify(listener, self._splitter.receive_data(data))
                 await listener.forward(data)
         except OSError as error:
             self.was_reset = True
-            if self._last not in (Keyword.BYE, Keyword.MOVE):
+            if self._last_keyword not in STATUS_BY_LAST_LINE:
                 return self._end(AttemptStatus.DROPPED, str(error))
-        ended = {Keyword.BYE: AttemptStatus.DELIVERED, Keyword.MOVE: AttemptStatus.REVOKED}
-        return self._end(ended.get(self._last, AttemptStatus.DROPPED), "ended by the backend")
-
-    def _hear(self, lines: list[bytes], listener: RelayListener) -> None:
-        if lines:
-            self._last = parse_reply(lines[-1]).keyword
-            listener.lines_received(lines)
+        status = STATUS_BY_LAST_LINE.get(self._last_keyword, AttemptStatus.DROPPED)
+        return self._end(status, "ended by the backend")
 
     async def send(self, data: bytes) -> None:
+        """Send the client's bytes to the backend, with backpressure. Raises OSError."""
         if self._sock is not None:
             await asyncio.get_running_loop().sock_sendall(self._sock, data)
 
     def close(self, *, reset: bool = False) -> None:
+        """Close at once, with FIN or, if asked, with RST."""
         if self._sock is not None:
             tcp.close(self._sock, reset=reset)
 
     def half_close(self) -> None:
-        """End our sending: what was sent still arrives, also where the backend's bytes stand unread."""
+        """Shut down sending: what was sent still arrives, also while the backend's bytes are unread."""
         if self._sock is not None:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_WR)
 
-    async def close_gracefully(self, wait_s: float) -> None:
-        """Close once the backend has ended its side, or after that time."""
+    async def close_gracefully(self, timeout_s: float) -> None:
+        """Close once the backend has shut down sending, or after the timeout."""
         if self._sock is not None:
-            await tcp.close_gracefully(self._sock, b"", wait_s, PARTING_MOST)
+            await tcp.close_gracefully(self._sock, b"", timeout_s, MAX_DISCARDED_BYTES)
+
+    def _find_obstacle(self, now_us: int, deadline_us: int, send_before_us: int) -> str:
+        """Return why the request must not be sent any more, "" if it may: connecting takes time."""
+        if send_before_us and now_us >= send_before_us:
+            return "too late to repeat"
+        if not self._backend.accepts_new_sessions(now_us, self._drain_grace_us):
+            return "it left meanwhile"
+        if now_us >= deadline_us:
+            return "no time left"
+        return ""
+
+    async def _send_request(self, sock: socket.socket, line: bytes) -> None:
+        self.stage = AttemptStage.SENDING
+        await tcp.send_all(sock, line)
+        self.stage = AttemptStage.SENT
+        self._on_sent()
+
+    async def _receive_first_reply(self, sock: socket.socket) -> AttemptEnd | None:
+        loop = asyncio.get_running_loop()
+        lines: list[bytes] = []
+        while not lines:
+            data = await loop.sock_recv(sock, READ_SIZE_BYTES)
+            if not data:
+                return self._end(AttemptStatus.DROPPED, "ended without a word")
+            self.established_data += data
+            lines = self._splitter.receive_data(data)
+            if not lines and self._splitter.is_overlong:
+                return self._end(AttemptStatus.APP_ERROR, "overlong line")
+        reply = parse_reply(lines[0])
+        if reply.keyword is Keyword.UP:
+            self.stage = AttemptStage.ESTABLISHED
+            self._lines_after_up = lines[1:]
+            return None
+        status = STATUS_BY_FIRST_REPLY.get(reply.keyword, AttemptStatus.APP_ERROR)
+        return self._end(status, lines[0][:MAX_REASON_BYTES].decode("ascii", "replace"), reply.load_report)
+
+    def _notify(self, listener: RelayListener, lines: list[bytes]) -> None:
+        if lines:
+            self._last_keyword = parse_reply(lines[-1]).keyword
+            listener.lines_received(lines)
+
+    def _failure_status(self, status_if_sent: AttemptStatus) -> AttemptStatus:
+        """Return the status of a failed attempt: a request that was not sent to its last byte never ran."""
+        return status_if_sent if self.stage is AttemptStage.SENT else AttemptStatus.DIAL_FAILED
 
-    def _end(self, status: AttemptStatus, why: str, report: dict[str, float] | None = None) -> AttemptEnd:
-        return AttemptEnd(status, self.stage, why, self._row(report) if report else ())
+    def _end(self, status: AttemptStatus, reason: str, load_report: dict[str, float] | None = None) -> AttemptEnd:
+        row = self._to_load_report_row(load_report) if load_report else ()
+        return AttemptEnd(status, self.stage, reason, row)
--- a/stoatgw/backends/health_check.py
+++ b/stoatgw/backends/health_check.py
@@ -1,10 +1,11 @@
-"""Probes: STATS on a kept connection to each backend."""
+"""Health checks: STATS on a connection to each backend that is kept open between checks."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 import socket
+from dataclasses import dataclass
 
 from stoatgw.backends.backend import Backend
 from stoatgw.clock import Clock
@@ -15,10 +16,11 @@
 from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 
-TIME_LIMIT_S = 0.5
-KEPT_MOST = 24  # connections that rest between probes: descriptors that others need
-# The fields on sockets, by the names that the settings give the same columns.
-FIELDS = {
+HEALTH_CHECK_TIMEOUT_S = 0.5
+MAX_IDLE_CONNECTIONS = 24  # kept open between checks: others need the descriptors, too
+READ_SIZE_BYTES = 4096
+# The names on the wire of the settings' report columns, where they differ.
+WIRE_NAMES = {
     "outstanding": "inflight",
     "backlog": "queue",
     "utilization": "util",
@@ -29,99 +31,137 @@
 
 
 class LoadReportSchema:
-    """A report by name, put in the order of the settings' columns."""
+    """The order in which the settings list a load report's columns."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
-        self._names = [(column, FIELDS.get(column, column)) for column in columns]
+        self._names = [(column, WIRE_NAMES.get(column, column)) for column in columns]
 
     def to_row(self, report: dict[str, float]) -> tuple[float | None, ...]:
-        return tuple(report.get(field, report.get(column)) for column, field in self._names)
+        """Return the report's values in the order of the columns, None for what is missing."""
+        return tuple(report.get(wire_name, report.get(column)) for column, wire_name in self._names)
+
+
+@dataclass(slots=True, eq=False)
+class _Check:
+    """One health check in progress; `status` is its result if it fails now."""
+
+    backend: Backend
+    started_us: int
+    sock: socket.socket | None
+    status: AttemptStatus = AttemptStatus.DIAL_FAILED
+    load_report: tuple[float | None, ...] = ()
 
 
 class HealthChecker:
+    """Checks backends, one check of each at a time, and posts the results to the controller's queue."""
+
     def __init__(
-        self, owner: MessageQueue, clock: Clock, columns: LoadReportSchema, dial_us: int, counters: Counters
+        self, queue: MessageQueue, clock: Clock, schema: LoadReportSchema, connect_timeout_us: int, counters: Counters
     ) -> None:
-        self._owner, self._clock, self._columns = owner, clock, columns
-        self._dial_s, self._counters = dial_us / 1e6, counters
-        self._kept: dict[str, socket.socket] = {}
+        """Start without connections."""
+        self._queue = queue
+        self._clock = clock
+        self._schema = schema
+        self._connect_timeout_s = connect_timeout_us / 1e6
+        self._counters = counters
+        self._idle: dict[str, socket.socket] = {}  # by backend, least recently used first
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def check(self, backend: Backend) -> None:
+        """Start a check, unless one of this backend is in progress: its result serves both."""
         running = self._tasks.get(backend.name)
         if running is not None and not running.done():
-            return  # one at a time: its result is this one's too
-        task = asyncio.get_running_loop().create_task(self._probe(backend))
-        self._tasks[backend.name] = task
+            return
+        self._tasks[backend.name] = asyncio.get_running_loop().create_task(self._run_check(backend))
 
     def close(self, name: str) -> None:
-        """Give back what is kept; a probe under way ends with a failure."""
+        """Close a backend's idle connection; a check in progress ends with a failure."""
         task = self._tasks.pop(name, None)
         if task is not None and not task.done():
             task.cancel()
-        sock = self._kept.pop(name, None)
+        sock = self._idle.pop(name, None)
         if sock is not None:
             tcp.close(sock)
 
-    async def _probe(self, backend: Backend) -> None:
-        began_us = self._clock.now_us()
-        status, row = AttemptStatus.DIAL_FAILED, tuple[float | None, ...]()
-        sock, reply = self._kept.pop(backend.name, None), None
+    async def _run_check(self, backend: Backend) -> None:
+        check = _Check(backend, self._clock.now_us(), self._idle.pop(backend.name, None))
         try:
-            async with asyncio.timeout(TIME_LIMIT_S):
-                if sock is not None:
-                    # Guards against a sound backend taken for a lost one: it may end a resting connection as we ask.
-                    with contextlib.suppress(OSError):
-                        reply = None if _ended(sock) else await self._ask(sock)
-                    if reply is None:
-                        tcp.close(sock)
-                        sock = None
-                if sock is None or reply is None:
-                    sock = tcp.create_socket()
-                    await self._connect(sock, backend)
-                    status = AttemptStatus.DROPPED
-                    reply = await self._ask(sock)
-            status = AttemptStatus.DELIVERED if reply.keyword is Keyword.PONG else AttemptStatus.APP_ERROR
-            row = self._columns.to_row(reply.load_report) if reply.fields else ()
-            if reply.keyword is Keyword.PONG and backend.draining_since_us is None:
-                self._keep(backend.name, sock)
-                sock = None
+            async with asyncio.timeout(HEALTH_CHECK_TIMEOUT_S):
+                reply = await self._request_on_idle(check)
+                if reply is None:
+                    reply = await self._request_on_new(check)
+            self._record_reply(check, reply)
         except TimeoutError:
-            status = AttemptStatus.DIAL_FAILED if status is AttemptStatus.DIAL_FAILED else AttemptStatus.EXPIRED
+            if check.status is not AttemptStatus.DIAL_FAILED:
+                check.status = AttemptStatus.EXPIRED
         except OSError:
-            pass
+            pass  # the status says how far the check had come
         finally:
-            if sock is not None:
-                tcp.close(sock)
-            self._counters.add(f"health_checks_{status.value}")
-            self._owner.post(HealthCheckCompleted(backend.name, status, self._clock.now_us() - began_us, row))
-
-    def _keep(self, name: str, sock: socket.socket) -> None:
-        """The least lately used goes: among many backends each rests until it is closed from there."""
-        self._kept[name] = sock
-        while len(self._kept) > KEPT_MOST:
-            tcp.close(self._kept.pop(next(iter(self._kept))))
-
-    async def _connect(self, sock: socket.socket, backend: Backend) -> None:
-        async with asyncio.timeout(self._dial_s):
-            await asyncio.get_running_loop().sock_connect(sock, backend.address)
-
-    async def _ask(self, sock: socket.socket) -> Reply:
-        loop, splitter, buffer = asyncio.get_running_loop(), LineSplitter(), bytearray(4096)
-        await loop.sock_sendall(sock, STATS + b"\r\n")
-        while True:
-            count = await loop.sock_recv_into(sock, buffer)
-            if not count:
-                raise ConnectionError("ended without a word")
-            lines = splitter.receive_data(memoryview(buffer)[:count])
-            if lines:
-                return parse_reply(lines[0])
-            if splitter.is_overlong:
-                raise ConnectionError("overlong line")
-
-
-def _ended(sock: socket.socket) -> bool:
-    """Whether a kept connection was closed, or holds bytes that answer nothing we asked."""
+            if check.sock is not None:
+                tcp.close(check.sock)
+            self._counters.add(f"health_checks_{check.status.value}")
+            duration_us = self._clock.now_us() - check.started_us
+            self._queue.post(HealthCheckCompleted(backend.name, check.status, duration_us, check.load_report))
+
+    async def _request_on_idle(self, check: _Check) -> Reply | None:
+        """Request a report on the idle connection; None if there is none, or it has ended.
+
+        That it has ended says nothing about the backend, which may close an idle connection just as it is used.
+        """
+        if check.sock is None:
+            return None
+        reply = None
+        with contextlib.suppress(OSError):
+            if not _has_ended(check.sock):
+                reply = await _request_report(check.sock)
+        if reply is None:
+            tcp.close(check.sock)
+            check.sock = None
+        return reply
+
+    async def _request_on_new(self, check: _Check) -> Reply:
+        check.sock = tcp.create_socket()
+        async with asyncio.timeout(self._connect_timeout_s):
+            await asyncio.get_running_loop().sock_connect(check.sock, check.backend.address)
+        check.status = AttemptStatus.DROPPED
+        return await _request_report(check.sock)
+
+    def _record_reply(self, check: _Check, reply: Reply) -> None:
+        """Note the result, and keep the connection for the next check if it is of use."""
+        is_healthy = reply.keyword is Keyword.PONG
+        check.status = AttemptStatus.DELIVERED if is_healthy else AttemptStatus.APP_ERROR
+        if reply.fields:
+            check.load_report = self._schema.to_row(reply.load_report)
+        if is_healthy and check.sock is not None and check.backend.draining_since_us is None:
+            self._keep_idle(check.backend.name, check.sock)
+            check.sock = None
+
+    def _keep_idle(self, name: str, sock: socket.socket) -> None:
+        """Keep a connection; over the limit the least recently used one is closed."""
+        self._idle[name] = sock
+        while len(self._idle) > MAX_IDLE_CONNECTIONS:
+            tcp.close(self._idle.pop(next(iter(self._idle))))
+
+
+async def _request_report(sock: socket.socket) -> Reply:
+    """Send STATS and return the reply. Raises OSError, also for a reply that is not a line."""
+    loop = asyncio.get_running_loop()
+    splitter = LineSplitter()
+    buffer = bytearray(READ_SIZE_BYTES)
+    await loop.sock_sendall(sock, STATS + b"\r\n")
+    while True:
+        count = await loop.sock_recv_into(sock, buffer)
+        if not count:
+            raise ConnectionError("ended without a word")
+        lines = splitter.receive_data(memoryview(buffer)[:count])
+        if lines:
+            return parse_reply(lines[0])
+        if splitter.is_overlong:
+            raise ConnectionError("overlong line")
+
+
+def _has_ended(sock: socket.socket) -> bool:
+    """Whether an idle connection was closed, or holds bytes that answer no request."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
