--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's HTTP and list: random cuts, garbage, and the config's errors."""
+"""Discovery: its HTTP, its endpoint list and its watch, and the configuration that names it."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from tests.virtual import VirtualClock, run
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
-READER = EndpointListParser(("a", "b"), ("m1", "m2"))
+PARSER = EndpointListParser(("a", "b"), ("m1", "m2"))
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CONFIG: dict[str, Any] = {
     "name": "n0",
@@ -78,12 +78,14 @@
 
 @FIXED
 @given(st.lists(st.integers(0, 999)), st.lists(st.integers(1, 99), min_size=1), st.sampled_from([None, 0, 2]))
-def test_a_watch_reads_the_same_however_it_is_cut(places: list[int], sizes: list[int], indent: int | None) -> None:
-    odd = entry(instanceId='s\\"}{[')
-    body = b"".join(json.dumps(page(odd, version=size), indent=indent).encode() + b"\n\n" for size in sizes)
+def test_a_watch_gives_the_same_objects_however_it_is_cut(
+    positions: list[int], sizes: list[int], indent: int | None
+) -> None:
+    unusual = entry(instanceId='s\\"}{[')
+    body = b"".join(json.dumps(page(unusual, version=size), indent=indent).encode() + b"\n\n" for size in sizes)
     chunks = [body[start : start + sizes[0]] for start in range(0, len(body), sizes[0])]
     data = HEAD + b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
-    ends = sorted({place % len(data) for place in places} | {0, len(data)})
+    ends = sorted({position % len(data) for position in positions} | {0, len(data)})
     http = JsonStreamParser()
     items = [item for start, end in itertools.pairwise(ends) for item in http.receive_data(data[start:end]) if item]
     assert [orjson.loads(item)["version"] for item in items] == sizes
@@ -91,22 +93,23 @@
 
 @FIXED
 @given(st.binary(min_size=1, max_size=200))
-def test_garbage_for_http_ends_in_a_value_error_at_most(garbage: bytes) -> None:
+def test_garbage_in_a_response_raises_an_http_error_at_most(garbage: bytes) -> None:
     for data in (garbage, HEAD + garbage):
         with contextlib.suppress(HttpError):
             JsonStreamParser().receive_data(data)
 
 
-def test_an_error_status_is_no_list() -> None:
+def test_an_error_status_raises_an_http_error() -> None:
     with pytest.raises(HttpError):
         JsonStreamParser().receive_data(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-def test_an_entry_is_read_by_name() -> None:
-    listed = READER.parse_page(page(entry())).entries[0]
-    row = listed.endpoint
-    assert (row.name, row.zone, row.machine_kind, row.cell, row.started_us) == ("s-1", 1, 1, 3, 5000)
-    assert (row.lifecycle, listed.host, listed.port) == (Lifecycle.ACTIVE, "127.0.0.2", 80)
+def test_an_entry_is_parsed_by_the_settings_names() -> None:
+    listed = PARSER.parse_page(page(entry())).entries[0]
+    endpoint = listed.endpoint
+    assert (endpoint.name, endpoint.zone, endpoint.machine_kind) == ("s-1", 1, 1)
+    assert (endpoint.cell, endpoint.started_us, endpoint.lifecycle) == (3, 5000, Lifecycle.ACTIVE)
+    assert (listed.host, listed.port) == ("127.0.0.2", 80)
 
 
 JSON = st.recursive(st.none() | st.booleans() | st.floats() | st.text(), st.lists)
@@ -114,26 +117,29 @@
 
 @FIXED
 @given(st.sampled_from([*entry(), "generation", "reset", "instances"]), JSON)
-def test_garbage_in_a_list_is_a_list_error_at_most(field: str, value: Any) -> None:
+def test_garbage_in_an_object_raises_an_endpoint_list_error_at_most(field: str, value: Any) -> None:
     for data in (page(entry(**{field: value})), page(entry(), **{field: value}), page(value), value):
         with contextlib.suppress(EndpointListError):
-            READER.parse_page(data)
+            PARSER.parse_page(data)
 
 
-def test_no_first_byte_after_the_drain_grace() -> None:
-    backends, grace_us = BackendRegistry(), 3_000_000
-    backends.update(READER.parse_page(page(entry())).entries, is_snapshot=True, now_us=0)
+def test_no_request_is_sent_after_the_drain_grace() -> None:
+    backends = BackendRegistry()
+    grace_us = 3_000_000
+    drain_us = 10**9
+    backends.update(PARSER.parse_page(page(entry())).entries, is_snapshot=True, now_us=0)
     backend = backends.get("s-1")
-    assert backend is not None and backend.accepts_new_sessions(10**9, grace_us)
-    draining = READER.parse_page(page(entry(lifecycle="DRAINING"))).entries
-    assert backends.update(draining, is_snapshot=False, now_us=10**9) == [backend]
-    empty = READER.parse_page(page()).entries
-    assert backends.update(empty, is_snapshot=True, now_us=2 * 10**9) == []  # told once: the first counts
-    assert backend.accepts_new_sessions(10**9 + grace_us - DRAIN_GRACE_MARGIN_US - 1, grace_us)
-    assert not backend.accepts_new_sessions(10**9 + grace_us - DRAIN_GRACE_MARGIN_US, grace_us)
+    assert backend is not None
+    assert backend.accepts_new_sessions(drain_us, grace_us)
+    draining = PARSER.parse_page(page(entry(lifecycle="DRAINING"))).entries
+    assert backends.update(draining, is_snapshot=False, now_us=drain_us) == [backend]
+    empty = PARSER.parse_page(page()).entries
+    assert backends.update(empty, is_snapshot=True, now_us=2 * drain_us) == []  # the first notification counts
+    assert backend.accepts_new_sessions(drain_us + grace_us - DRAIN_GRACE_MARGIN_US - 1, grace_us)
+    assert not backend.accepts_new_sessions(drain_us + grace_us - DRAIN_GRACE_MARGIN_US, grace_us)
 
 
-def test_the_configuration_is_read() -> None:
+def test_the_configuration_is_parsed() -> None:
     deployment: Deployment = parse_deployment(CONFIG)
     assert (deployment.seed, deployment.zones, deployment.reports_message_delay) == (31, ("a", "b"), True)
     assert [profile.name for profile in deployment.settings.profiles] == ["chat", "view"]
@@ -161,18 +167,19 @@
 def test_an_address_that_cannot_be_bound_ends_the_start_with_status_2(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    with socket.socket() as taken:
-        taken.bind(("127.0.0.1", 0))
-        taken.listen()
+    with socket.socket() as occupied:
+        occupied.bind(("127.0.0.1", 0))
+        occupied.listen()
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(CONFIG | {"listen": f"127.0.0.1:{taken.getsockname()[1]}"}))
+        path.write_text(json.dumps(CONFIG | {"listen": f"127.0.0.1:{occupied.getsockname()[1]}"}))
         monkeypatch.setenv("LB_CONFIG", str(path))
         assert main() == 2
     assert capsys.readouterr().err.startswith("stoatgw: listen: ")
 
 
-LISTED, CHANGED = page(entry()), page(entry(lifecycle="DRAINING"), generation=42, reset=False)
-Answer = Callable[[asyncio.StreamReader, asyncio.StreamWriter, float], Awaitable[None]]
+LISTED = page(entry())
+CHANGED = page(entry(lifecycle="DRAINING"), generation=42, reset=False)
+Fault = Callable[[asyncio.StreamReader, asyncio.StreamWriter, float], Awaitable[None]]
 
 
 def chunk(data: Any, indent: int | None = None) -> bytes:
@@ -184,7 +191,7 @@
     await reader.read()
 
 
-async def refuse(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
+async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
     await asyncio.sleep(0.3)
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
@@ -194,116 +201,104 @@
 
 
 async def drip(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
-    """Half an object, byte by byte: it is alive, and tells nothing."""
+    """Send an object without end byte by byte: the connection is alive, and brings nothing."""
     writer.write(HEAD)
     while True:
         writer.write(b"1\r\n{\r\n")
         await asyncio.sleep(0.5)
 
 
-async def half(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
+async def truncate(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
     writer.write(HEAD + chunk(CHANGED)[:60])
     await reader.read()
 
 
-async def late(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
-    """An agent that stays silent while discovery is down, and says at its return what it learns then."""
+async def withhold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
+    """Stay silent while discovery is down, and send at its return what changed, as an agent does."""
     await asyncio.sleep(max(0.0, until_s - asyncio.get_running_loop().time()))
     writer.write(HEAD + chunk(CHANGED))
     await reader.read()
 
 
-async def told_after(trouble: Answer, down_s: float, pushed: bool = True, seed: int = 1) -> float:
-    """Seconds from discovery's return to the change's arrival; the first watch falls silent in its first moment."""
-    loop, told = asyncio.get_running_loop(), asyncio.Event()
-    began_s, asked = loop.time(), 0
+def make_client(
+    address: Address, post: Callable[[EndpointsUpdated], None], clock: Clock, backoff: Backoff
+) -> DiscoveryClient:
+    log = EventLog("n0")
+    queue = SimpleNamespace(post=post)
+    publisher = EndpointPublisher(BackendRegistry(), queue, clock, log, on_draining=lambda backend: None)
+    return DiscoveryClient(address, PARSER, publisher, backoff, log, Counters())
+
 
-    async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal asked
-        asked += 1
+async def notification_delay_s(fault: Fault, down_s: float, pushed: bool = True, seed: int = 1) -> float:
+    """Seconds from discovery's return to the notification; the first watch falls silent in its first moment."""
+    loop = asyncio.get_running_loop()
+    notified = asyncio.Event()
+    start_s = loop.time()
+    call_count = 0
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        nonlocal call_count
+        call_count += 1
         await reader.readuntil(b"\r\n\r\n")
         with contextlib.suppress(OSError, asyncio.CancelledError):
-            if asked == 1:
+            if call_count == 1:
                 writer.write(HEAD + chunk(LISTED, indent=2))
                 await reader.read()
-            elif loop.time() < began_s + down_s:
-                await trouble(reader, writer, began_s + down_s)
+            elif loop.time() < start_s + down_s:
+                await fault(reader, writer, start_s + down_s)
             else:
                 writer.write(HEAD + chunk(CHANGED, indent=1))
                 await reader.read()
         writer.close()
 
-    def put(message: EndpointsUpdated) -> None:
-        if any(each.lifecycle is Lifecycle.DRAINING for each in message.update.endpoints):
-            told.set()
+    def post(message: EndpointsUpdated) -> None:
+        if any(endpoint.lifecycle is Lifecycle.DRAINING for endpoint in message.update.endpoints):
+            notified.set()
 
-    server = await asyncio.start_server(discovery, "127.0.0.1", 0)
+    server = await asyncio.start_server(serve, "127.0.0.1", 0)
     address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
-    director = DiscoveryClient(
-        address,
-        READER,
-        EndpointPublisher(
-            BackendRegistry(),
-            SimpleNamespace(post=put),
-            VirtualClock(),
-            EventLog("n0"),
-            on_draining=lambda backend: None,
-        ),
-        Backoff(2 if pushed else 200, Random(seed), pushed=pushed),
-        EventLog("n0"),
-        Counters(),
-    )
-    task = asyncio.create_task(director.run())
+    backoff = Backoff(2 if pushed else 200, Random(seed), pushed=pushed)
+    task = asyncio.create_task(make_client(address, post, VirtualClock(), backoff).run())
     async with asyncio.timeout(down_s + 60):
-        await told.wait()
-    took_s = loop.time() - began_s - down_s
+        await notified.wait()
+    delay_s = loop.time() - start_s - down_s
     task.cancel()
     await asyncio.wait([task])
     server.close()
-    return took_s
+    return delay_s
 
 
 @pytest.mark.parametrize("pushed", [True, False])
-@pytest.mark.parametrize("trouble", [hang, refuse, reset, drip, half])
-def test_whatever_call_fails_a_change_is_told_in_time(trouble: Answer, pushed: bool) -> None:
-    """A change counts as told 6 s after the watch fell silent, also if a call fails then, and 6 s after discovery can
-    be reached again; where many ask it, its answer alone may take 2 s of that."""
-    left_s = NOTIFICATION_DEADLINE_S - (0.0 if pushed else 2.0)
+@pytest.mark.parametrize("fault", [hang, reject, reset, drip, truncate])
+def test_whatever_call_fails_a_change_is_notified_in_time(fault: Fault, pushed: bool) -> None:
+    """Whatever fails, a notification meets its deadline, and comes at most 2 s after discovery's return.
+
+    Its deadline runs from the watch's silence; where a large fleet polls, the response alone may take 2 s of it.
+    """
+    deadline_s = NOTIFICATION_DEADLINE_S - (0.0 if pushed else 2.0)
     for tenths in range(0, 100, 7):
         down_s = tenths / 10
-        assert down_s + run(told_after(trouble, down_s, pushed)) <= max(left_s, down_s + 2.0), down_s
+        delay_s = run(notification_delay_s(fault, down_s, pushed))
+        assert down_s + delay_s <= max(deadline_s, down_s + 2.0), down_s
 
 
-def test_a_quiet_call_is_heard_at_discoverys_return() -> None:
+def test_a_stalled_call_is_read_at_discoverys_return() -> None:
     for down_s in (3.0, 5.5, 9.9, 30.0):
-        assert run(told_after(late, down_s)) < 0.01
-
-
-def test_changes_of_an_older_generation_are_not_taken_in() -> None:
-    put: list[Any] = []
-    director = DiscoveryClient(
-        Address("127.0.0.1", 1),
-        READER,
-        EndpointPublisher(
-            BackendRegistry(),
-            SimpleNamespace(post=put.append),
-            Clock(),
-            EventLog("n0"),
-            on_draining=lambda backend: None,
-        ),
-        Backoff(2, Random(1)),
-        EventLog("n0"),
-        Counters(),
-    )
-    director.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
-    assert not director._apply_object(json.dumps(page(entry(), generation=41, reset=False)).encode())
-    assert director.publisher.endpoints()[0].lifecycle is Lifecycle.DRAINING
-    assert director._apply_object(json.dumps(page(entry(), generation=3)).encode())  # the whole list, of a new count
-    assert director.publisher.endpoints()[0].lifecycle is Lifecycle.ACTIVE
-
-
-def test_an_object_without_end_is_given_up_at_the_cap() -> None:
-    objects = JsonObjectSplitter(max_object_bytes=1000)
+        assert run(notification_delay_s(withhold, down_s)) < 0.01
+
+
+def test_changes_of_an_older_generation_are_not_applied() -> None:
+    client = make_client(Address("127.0.0.1", 1), lambda message: None, Clock(), Backoff(2, Random(1)))
+    client.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
+    assert not client._apply_object(json.dumps(page(entry(), generation=41, reset=False)).encode())
+    assert client.publisher.endpoints()[0].lifecycle is Lifecycle.DRAINING
+    assert client._apply_object(json.dumps(page(entry(), generation=3)).encode())  # a full snapshot, of a new count
+    assert client.publisher.endpoints()[0].lifecycle is Lifecycle.ACTIVE
+
+
+def test_an_object_without_end_is_given_up_at_the_limit() -> None:
+    splitter = JsonObjectSplitter(max_object_bytes=1000)
     for _ in range(100):
-        assert objects.receive_data(b'{"a":"' + b"x" * 20) == []
-    assert objects.is_overlong and not objects.trailing_data
+        assert splitter.receive_data(b'{"a":"' + b"x" * 20) == []
+    assert splitter.is_overlong
+    assert not splitter.trailing_data
