--- a/example/toy_client.py
+++ b/example/toy_client.py
@@ -1,4 +1,20 @@
-"""A toy client: opens a session, sends each argument as a line, and ends it; without any, it stays."""
+"""A toy client: opens a session through the proxy, sends lines, and prints what comes back.
+
+    python example/toy_client.py [LINE...]
+
+Each argument is sent as a line of the session, then `quit`, upon which the toy server ends the session. Without
+arguments the client stays until the proxy migrates it.
+
+The protocol is lines of text. The client sends a request and waits for the answer:
+
+    OPEN id key c=class,d=timeout_ms,g=group
+
+    UP ...          the session is established; from now on lines pass both ways
+    BUSY [ms]       rejected; a retry makes sense after so many milliseconds
+    ERR reason      failed, or the request is malformed
+
+An established session ends with `BYE` (it is over) or with `MOVE` (request it anew: another server takes it on).
+"""
 
 from __future__ import annotations
 
@@ -6,17 +22,29 @@
 import secrets
 import sys
 
+PROXY = ("127.0.0.1", 9000)
+SESSION_CLASS = "patient-session"  # one of the classes in config.json
+TIMEOUT_MS = 2000
+GROUP = 1  # sessions of a group are placed on the same server where possible
+
+
+def encode_request() -> bytes:
+    """Encode a request with a fresh id and idempotency key."""
+    request_id = secrets.token_hex(8)
+    idempotency_key = secrets.token_hex(6)
+    return f"OPEN {request_id} {idempotency_key} c={SESSION_CLASS},d={TIMEOUT_MS},g={GROUP}\r\n".encode()
+
 
-async def main() -> int:
-    reader, writer = await asyncio.open_connection("127.0.0.1", 9000)
-    opening = f"OPEN {secrets.token_hex(8)} {secrets.token_hex(6)} c=patient-session,d=2000,g=1"
-    lines = [*sys.argv[1:], "quit"] if len(sys.argv) > 1 else []
-    writer.write(f"{opening}\r\n".encode())
+async def main(lines: list[str]) -> int:
+    """Run one session; return the exit status, 1 if it was not established."""
+    reader, writer = await asyncio.open_connection(*PROXY)
+    writer.write(encode_request())
     answer = await reader.readline()
     print(answer.decode().strip())
     if not answer.startswith(b"UP "):
         return 1
-    writer.write("".join(f"{line}\r\n" for line in lines).encode())
+    if lines:
+        writer.write("".join(f"{line}\r\n" for line in [*lines, "quit"]).encode())
     while line := await reader.readline():
         print(line.decode().strip())
     writer.close()
@@ -24,4 +52,4 @@
 
 
 if __name__ == "__main__":
-    sys.exit(asyncio.run(main()))
+    sys.exit(asyncio.run(main(sys.argv[1:])))
