--- a/stoatgw/discovery/client.py
+++ b/stoatgw/discovery/client.py
@@ -130,7 +130,7 @@
         self._schedule_call(self._backoff.next_delay_s(overloaded=is_overloaded))
 
     def _on_item(self, call: WatchCall, item: bytes) -> bool:
-        """Take in an object or a keep-alive (b"") of a call; False if the call must not go on.
+        """Apply an object, or note a keep-alive (b""), of a call; False if the call must not go on.
 
         A missed change could break the drain rule: after a bad object the change is requested anew.
         """
--- a/stoatgw/discovery/http.py
+++ b/stoatgw/discovery/http.py
@@ -42,7 +42,7 @@
         return bytes(self._buffer).strip()
 
     def receive_data(self, data: bytes) -> list[bytes]:
-        """Take bytes in and return the objects that they complete."""
+        """Add bytes and return the objects that they complete."""
         if self.is_overlong:
             return []
         self._buffer += data
@@ -112,7 +112,7 @@
         """The response has ended."""
 
     def receive_data(self, data: bytes) -> list[bytes]:
-        """Take bytes in and return the objects that they complete.
+        """Add bytes and return the objects that they complete.
 
         Raises:
             HttpBusyError: The server has too much to do.
--- a/stoatgw/discovery/publisher.py
+++ b/stoatgw/discovery/publisher.py
@@ -34,7 +34,7 @@
         Args:
             backends: Updated before the controller is notified.
             queue: The controller's queue, on which updates are posted.
-            clock: Tells when an update arrived.
+            clock: Dates the updates.
             log: Gets an event for each update of the list.
             on_draining: Called with each backend that began to drain or was removed.
             override: Gives an endpoint as the operators' overrides make it.
@@ -65,7 +65,7 @@
         return [listed.endpoint for listed in self._listed.values()]
 
     def apply(self, page: EndpointListPage, kind: EndpointUpdateKind) -> None:
-        """Take a page in and publish what it holds."""
+        """Apply a page to the list and publish its entries."""
         is_snapshot = kind is not EndpointUpdateKind.DELTA
         if is_snapshot:
             self._listed = {}
--- a/stoatgw/discovery/watch_call.py
+++ b/stoatgw/discovery/watch_call.py
@@ -73,7 +73,8 @@
                 for item in parser.receive_data(bytes(memoryview(buffer)[:count])):
                     if self.state is WatchState.CLOSED or not self._on_item(self, item):
                         return
-                    self.state = WatchState.STREAMING
+                    if self.state is WatchState.REQUESTED:
+                        self.state = WatchState.STREAMING
 
 
 def _encode_request(address: Address, after_version: int | None) -> bytes:
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -20,7 +20,7 @@
         return bytes(self._buffer)
 
     def receive_data(self, data: bytes | bytearray | memoryview) -> list[bytes]:
-        """Take bytes in and return the lines that they complete."""
+        """Add bytes and return the lines that they complete."""
         if self.is_overlong:
             return []
         self._buffer += data
--- a/stoatgw/sockets/tcp.py
+++ b/stoatgw/sockets/tcp.py
@@ -47,7 +47,7 @@
 
 
 async def wait_readable(sock: socket.socket) -> None:
-    """Wait until there is something to read or to accept; nothing is taken from the socket.
+    """Wait until there is something to read or to accept; nothing is consumed.
 
     The loop's own sock_accept would lose what it had accepted if it were cancelled in the same iteration.
     """
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import contextlib
+import dataclasses
 import itertools
 import json
 import socket
@@ -23,12 +24,13 @@
 from stoatgw.config.deployment import Address, Deployment, parse_deployment
 from stoatgw.config.errors import ConfigError
 from stoatgw.controller.messages import EndpointsUpdated
-from stoatgw.decisions.interface import Lifecycle
+from stoatgw.decisions.interface import EndpointUpdateKind, Lifecycle
 from stoatgw.discovery.backoff import NOTIFICATION_DEADLINE_S, Backoff
 from stoatgw.discovery.client import DiscoveryClient
 from stoatgw.discovery.endpoint_list import EndpointListError, EndpointListParser
 from stoatgw.discovery.http import HttpError, JsonObjectSplitter, JsonStreamParser
 from stoatgw.discovery.publisher import EndpointPublisher
+from stoatgw.discovery.watch_call import WatchCall, WatchState
 from stoatgw.service import main
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
@@ -287,6 +289,55 @@
         assert run(notification_delay_s(withhold, down_s)) < 0.01
 
 
+def test_a_closed_call_hands_nothing_on() -> None:
+    items: list[bytes] = []
+
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await reader.readuntil(b"\r\n\r\n")
+        writer.write(HEAD + chunk(LISTED) + chunk(CHANGED))
+        await reader.read()
+        writer.close()
+
+    def close(call: WatchCall, item: bytes) -> bool:
+        assert call.state is WatchState.REQUESTED
+        items.append(item)
+        call.close()
+        return True
+
+    async def play() -> WatchState:
+        server = await asyncio.start_server(serve, "127.0.0.1", 0)
+        address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
+        call = WatchCall(close)
+        assert call.state is WatchState.CONNECTING
+        task = asyncio.create_task(call.receive(address, None))
+        await asyncio.wait([task])
+        server.close()
+        return call.state
+
+    assert run(play()) is WatchState.CLOSED
+    assert items == [json.dumps(LISTED).encode()]
+
+
+def test_overrides_are_published_of_listed_endpoints_only() -> None:
+    published: list[EndpointsUpdated] = []
+    overridden = Lifecycle.DRAINING
+    publisher = EndpointPublisher(
+        BackendRegistry(),
+        SimpleNamespace(post=published.append),
+        Clock(),
+        EventLog("n0"),
+        on_draining=lambda backend: None,
+        override=lambda endpoint: dataclasses.replace(endpoint, lifecycle=overridden),
+    )
+    publisher.apply(PARSER.parse_page(page(entry())), EndpointUpdateKind.SNAPSHOT)
+    publisher.republish(["s-9"])
+    assert len(published) == 1
+    publisher.republish(["s-9", "s-1"])
+    assert [message.update.kind for message in published] == [EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.DELTA]
+    assert [endpoint.lifecycle for message in published for endpoint in message.update.endpoints] == [overridden] * 2
+    assert publisher.endpoints()[0].lifecycle is Lifecycle.ACTIVE
+
+
 def test_changes_of_an_older_generation_are_not_applied() -> None:
     client = make_client(Address("127.0.0.1", 1), lambda message: None, Clock(), Backoff(2, Random(1)))
     client.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
