--- /dev/null
+++ b/stoatgw/emulator/virtual/proxy_processes.py
@@ -0,0 +1,211 @@
+"""The modelled proxy processes: started, restarted by SIGTERM, killed and frozen."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import Any
+
+from stoatgw.backends.backend import BackendRegistry
+from stoatgw.config.settings import flatten, read_settings
+from stoatgw.controller.controller import Controller
+from stoatgw.controller.graceful_shutdown import plan_shutdown
+from stoatgw.controller.policy import MakePolicy
+from stoatgw.emulator.virtual.endpoints import deliver_endpoints
+from stoatgw.emulator.virtual.event_loop import ProcessEventLoop, VirtualClock, VirtualScheduler
+from stoatgw.emulator.virtual.gateway import VirtualGateway
+from stoatgw.emulator.virtual.latency_monitor import LatencyMonitor
+from stoatgw.emulator.virtual.proxy import VirtualProxy
+from stoatgw.emulator.world.client_population import ClientPopulation
+from stoatgw.emulator.world.events import EventKind
+from stoatgw.emulator.world.proxy_settings import proxy_settings
+from stoatgw.emulator.world.streams import UniformSource
+from stoatgw.emulator.world.world_state import WorldState
+from stoatgw.rebalance.rebalancer import Rebalancer
+from stoatgw.telemetry.counters import Counters
+from stoatgw.telemetry.log import EventLog
+
+ADMISSION_AFTER_SIGTERM_US = (200_000, 400_000)  # new clients still come for so long
+DRAIN_POLL_INTERVAL_US = 20_000
+ADMISSION_DELAY_US = 100_000  # from a proxy's start to its first client
+MAX_FAULT_TEXT = 200
+PROGRAM_FAULT_EVENTS = ("decision_crashed", "recovery_failed")
+
+
+class ProgramFaultLog(EventLog):
+    """A proxy's log: faults of the program go into the run's event log, all else is dropped."""
+
+    def __init__(self, proxy_name: str, world: WorldState) -> None:
+        super().__init__(proxy_name)
+        self._proxy_name = proxy_name
+        self._world = world
+
+    def event(self, event: str, **fields: object) -> None:
+        """Record one event."""
+        if event in PROGRAM_FAULT_EVENTS:
+            detail = f"{event}: {str(fields.get('error'))[:MAX_FAULT_TEXT]}"
+            self._world.log(EventKind.PROGRAM_FAULT, self._proxy_name, detail=detail)
+
+
+class ProxyProcesses:
+    """All proxies of a run; `proxies` has the current process of each."""
+
+    def __init__(self, population: ClientPopulation[Any], scheduler: VirtualScheduler, make_policy: MakePolicy) -> None:
+        """`population` is the load balancer before the proxies: it is told which of them admit clients."""
+        self._population = population
+        self._world = population.world
+        self._scheduler = scheduler
+        self._clock = VirtualClock(scheduler)
+        self._make_policy = make_policy
+        self._start_counts = [0] * len(self._world.proxy_names)
+        self.proxies: list[VirtualProxy] = []
+
+    # Start.
+
+    def start_all(self) -> None:
+        """Start every proxy for the first time."""
+        for index in range(len(self._world.proxy_names)):
+            self.proxies.append(self._start(index))
+
+    def _start(self, index: int) -> VirtualProxy:
+        world = self._world
+        start_number = self._start_counts[index]
+        self._start_counts[index] += 1
+        proxy = self._create(index, start_number)
+        world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail="up")
+        known = list(world.discovery.known_endpoints[index].values())
+        proxy.loop.deliver(partial(self._start_controller, proxy, self._policy_seed(index, start_number)))
+        deliver_endpoints(world, proxy, known, is_snapshot=True)
+        proxy.loop.deliver(partial(_run_controller, proxy))
+        if proxy.settings.profiles and world.scenario.module.tells_delay:
+            LatencyMonitor(world, proxy).start()
+        return proxy
+
+    def _create(self, index: int, start_number: int) -> VirtualProxy:
+        world = self._world
+        name = world.proxy_names[index]
+        settings = read_settings(flatten(proxy_settings(world.scenario, index)))
+        seed = self._policy_seed(index, start_number)
+        log = ProgramFaultLog(name, world)
+        return VirtualProxy(
+            index=index,
+            name=name,
+            zone=world.proxy_zone(index),
+            loop=ProcessEventLoop(self._scheduler),  # type: ignore[abstract]  # it has only what the controller uses
+            controller=Controller(settings, seed, self._clock, log, Counters(), self._make_policy),
+            backends=BackendRegistry(),
+            settings=settings,
+            random=UniformSource(world.streams.of(f"proxy {index}", start_number)),
+        )
+
+    def _policy_seed(self, index: int, start_number: int) -> int:
+        return self._world.streams.number(f"module {index}", start_number)
+
+    def _start_controller(self, proxy: VirtualProxy, seed: int) -> None:
+        limits = self._world.scenario.operators.rebalance
+        rebalancer = Rebalancer(limits, proxy.settings, seed) if limits.enabled else None
+        proxy.controller.start(VirtualGateway(self._world, proxy, self._population.counts), rebalancer)
+
+    # Restart by SIGTERM.
+
+    def restart(self, index: int) -> None:
+        """SIGTERM, the drain, the end, and a new start some time later."""
+        proxy = self.proxies[index]
+        if proxy.has_ended:
+            return
+        self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail="draining")
+        plan = plan_shutdown(proxy.settings, handed_over=False)
+        proxy.loop.deliver(partial(proxy.controller.post, plan.drain))
+        now_us = self._scheduler.now_us()
+        stop_us = now_us + int(self._population.front_random.between(*ADMISSION_AFTER_SIGTERM_US))
+        self._scheduler.call_at(stop_us, partial(self._stop_admission, index))
+        poll = partial(self._poll_drained, proxy, now_us + plan.max_duration_us)
+        self._scheduler.call_at(now_us + plan.min_duration_us, poll)
+
+    def _stop_admission(self, index: int) -> None:
+        self._population.is_admitting[index] = False
+
+    def _poll_drained(self, proxy: VirtualProxy, until_us: int) -> None:
+        if proxy.has_ended:
+            return
+        now_us = self._scheduler.now_us()
+        if proxy.sessions and now_us < until_us:
+            self._scheduler.call_at(now_us + DRAIN_POLL_INTERVAL_US, partial(self._poll_drained, proxy, until_us))
+            return
+        restart_range_s = self._world.scenario.proxies.restart_s
+        self._end(proxy, "stopped", int(self._population.front_random.between(*restart_range_s) * 1e6))
+
+    # Kill.
+
+    def kill(self, index: int, back_us: int) -> None:
+        """End a process at once; it starts again after `back_us`."""
+        proxy = self.proxies[index]
+        if proxy.has_ended:
+            return
+        self._end(proxy, "killed", back_us)
+        notice_range_s = self._world.scenario.proxies.notice_s
+        wait_us = int(self._population.front_random.between(*notice_range_s) * 1e6)
+        self._scheduler.call_at(self._scheduler.now_us() + wait_us, partial(self._notice_end, index))
+
+    def _notice_end(self, index: int) -> None:
+        """The load balancer notices a dead proxy, unless it is back by then."""
+        if self.proxies[index].has_ended:
+            self._stop_admission(index)
+
+    def _end(self, proxy: VirtualProxy, how: str, back_us: int) -> None:
+        proxy.has_ended = True
+        proxy.loop.kill()
+        for session in list(proxy.sessions.values()):
+            session.proxy_ended(how)
+        self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail=how)
+        self._scheduler.call_at(self._scheduler.now_us() + back_us, partial(self._start_again, proxy.index))
+
+    def _start_again(self, index: int) -> None:
+        self.proxies[index] = self._start(index)
+        self._scheduler.call_at(self._scheduler.now_us() + ADMISSION_DELAY_US, partial(self._admit, index))
+
+    def _admit(self, index: int) -> None:
+        self._population.is_admitting[index] = not self.proxies[index].has_ended
+
+    # Freeze by SIGSTOP.
+
+    def freeze(self, index: int, for_us: int) -> None:
+        """Stop a process for a time."""
+        proxy = self.proxies[index]
+        if proxy.has_ended or proxy.loop.is_frozen:
+            return
+        self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail="frozen")
+        proxy.loop.freeze()
+        self._set_sessions_reachable(proxy, False)
+        self._scheduler.call_at(self._scheduler.now_us() + for_us, partial(self._thaw, proxy))
+
+    def _thaw(self, proxy: VirtualProxy) -> None:
+        if not proxy.has_ended:
+            self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail="thawed")
+            proxy.loop.thaw()
+            self._set_sessions_reachable(proxy, True)
+
+    def _set_sessions_reachable(self, proxy: VirtualProxy, is_reachable: bool) -> None:
+        now_us = self._scheduler.now_us()
+        for server_name, sessions in proxy.established.items():
+            server = self._world.servers[server_name]
+            is_connected = is_reachable and not self._world.is_unreachable(proxy.zone, server)
+            for session_name in sessions:
+                server.set_reachable(now_us, session_name, is_connected)
+
+    # The end of the run.
+
+    def log_leaks_and_faults(self) -> None:
+        """Record the requests that controllers still have though they are over, and what asyncio reported."""
+        for proxy in self.proxies:
+            if proxy.has_ended:
+                continue
+            open_sessions = sum(1 for session in proxy.sessions.values() if session.is_known_to_controller)
+            leaked = max(0, proxy.controller.open_requests - open_sessions)
+            self._world.log(EventKind.REQUESTS_LEAKED, proxy.name, number=leaked)
+            for error in proxy.loop.unhandled_errors:
+                detail = str(error.get("exception", error))[:MAX_FAULT_TEXT]
+                self._world.log(EventKind.PROGRAM_FAULT, proxy.name, detail=detail)
+
+
+def _run_controller(proxy: VirtualProxy) -> None:
+    proxy.task = proxy.loop.create_task(proxy.controller.run())
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -24,7 +24,8 @@
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
 
 if TYPE_CHECKING:
-    from stoatgw.emulator.virtual.driver import Proxy, VirtualDriver
+    from stoatgw.emulator.virtual.driver import VirtualDriver
+    from stoatgw.emulator.virtual.proxy import VirtualProxy
 
 DIAL_US = 250_000
 UNANSWERED_US, LOOK_US = 5_000_000, 250_000  # a connection unanswered so long is given up at the next look
@@ -32,7 +33,7 @@
 
 
 class Session:
-    def __init__(self, world: VirtualDriver, proxy: Proxy, client: Client, name: str, asked_us: int) -> None:
+    def __init__(self, world: VirtualDriver, proxy: VirtualProxy, client: Client, name: str, asked_us: int) -> None:
         self._world, self._realm, self._kernel = world, world.world, world.scheduler
         self.proxy, self.client, self.name, self.requested_us = proxy, client, name, asked_us
         population, index = world.world.population, client.index
