--- a/stoatgw/emulator/virtual/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -1,12 +1,13 @@
-"""Policies that a run is measured against: random choice (the floor) and one that sees the truth (the top).
+"""Policies that a run is measured against: random choice (the floor), and one that sees the true state (the top).
 
-Both keep the rules: nothing to a server that the list does not call ready, one attempt at a time.
-The top places by the true load of this moment; it is no bound that nothing could pass.
+Both keep the rules: nothing to a server that the list does not call ready, one attempt at a time. The omniscient policy
+places by the true load of this moment; it is no upper bound in the strict sense.
 """
 
 from __future__ import annotations
 
 import random
+from dataclasses import dataclass, field
 
 from stoatgw.controller.policy import MakePolicy
 from stoatgw.decisions import interface as api
@@ -14,179 +15,229 @@
 from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
 from stoatgw.emulator.world.world_state import WorldState
 
-TRIES = 2
-ADVICE_US = 1_000_000
-RELIEF_US = 250_000
-RELIEVE = 0.85  # the top moves connections off a server over this utilisation
-LOW_WORTH = 0.35  # part of the fill that a connection of no worth forgoes
-FILL = 0.8  # the top fills a server up to this part of what it can do now
-CROSSING = 0.05  # load by which the top holds a server of another zone for fuller
-COLD_PART = 0.5  # part of a cold server's budget that the floor and the top use
+MAX_ATTEMPTS = 2
+RETRY_AFTER_US = 1_000_000
+ANSWER_MARGIN_US = 50_000  # before the deadline
+RANDOM_POLICY_UNITS = 2.0  # load that the random policy expects of a session
+REBALANCE_INTERVAL_US = 250_000
+REBALANCE_PHASE_STEP_US = 7_919
+MAX_UTILIZATION = 0.85  # the omniscient policy migrates sessions off a server over this
+SPARE_UTILIZATION = 0.2  # below that limit a server can take migrated sessions
+MAX_FILL = 0.8  # the omniscient policy fills a server up to this utilization
+LOW_PRIORITY_FILL_REDUCTION = 0.35  # for a session without any priority weight
+REMOTE_ZONE_COST = 0.05  # utilization that a server of another zone counts as fuller
+WARM_UP_SHARE = 0.5  # of a server's slow-start budget that these policies use
+MAX_CANDIDATES = 64  # of a large fleet the best of a sample is nearly as good as the best
 
 
-class _Placing:
-    """What both have in common: the list, attempts, and answers."""
+@dataclass(slots=True)
+class _PendingRequest:
+    request: api.Request
+    deadline_us: int
+    tried: list[str] = field(default_factory=list)
+
+
+class PlacementPolicy:
+    """What both policies share: the endpoint list, attempts and answers."""
 
     def __init__(self, world: WorldState, settings: api.Settings, seed: int) -> None:
-        self._world, self._settings, self._random = world, settings, random.Random(seed)
+        self._world = world
+        self._settings = settings
+        self._random = random.Random(seed)
         self._ready: dict[str, api.Endpoint] = {}
-        self._asked: dict[str, tuple[api.Request, list[str], int]] = {}
-        self._standing: set[str] = set()
+        self._pending: dict[str, _PendingRequest] = {}
+        self._established: set[str] = set()
 
     def start(self, now_us: int) -> list[api.Action]:
+        """Nothing to do at the start."""
         return []
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
+        """Take one event; gives what to do."""
         match event:
             case api.EndpointUpdate():
-                if event.kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
-                    self._ready.clear()
-                for entry in event.endpoints:
-                    self._ready.pop(entry.name, None)
-                    if entry.lifecycle is Lifecycle.ACTIVE:
-                        self._ready[entry.name] = entry
+                self._update_endpoints(event)
             case api.Request():
-                self._asked[event.request_id] = (event, [], now_us + event.time_left_us)
+                self._pending[event.request_id] = _PendingRequest(event, now_us + event.time_left_us)
                 return self._place(event.request_id, now_us)
             case api.AttemptEstablished():
-                self._standing.add(event.request_id)
+                self._established.add(event.request_id)
             case api.SessionRestored():
-                self._standing.add(event.request.request_id)
+                self._established.add(event.request.request_id)
             case api.ClientDisconnected():
-                self._asked.pop(event.request_id, None)
+                self._pending.pop(event.request_id, None)
             case api.AttemptOutcome():
-                stood = event.request_id in self._standing
-                self._standing.discard(event.request_id)
-                if stood or event.is_final or event.status is AttemptStatus.UNUSED:
-                    self._asked.pop(event.request_id, None)
-                elif event.request_id in self._asked:
-                    return self._place(event.request_id, now_us)
+                return self._handle_outcome(event, now_us)
         return []
 
-    def _place(self, request: str, now_us: int) -> list[api.Action]:
-        asked, tried, deadline_us = self._asked[request]
-        left_us = deadline_us - now_us - 50_000
+    def _update_endpoints(self, update: api.EndpointUpdate) -> None:
+        if update.kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
+            self._ready.clear()
+        for endpoint in update.endpoints:
+            self._ready.pop(endpoint.name, None)
+            if endpoint.lifecycle is Lifecycle.ACTIVE:
+                self._ready[endpoint.name] = endpoint
+
+    def _handle_outcome(self, outcome: api.AttemptOutcome, now_us: int) -> list[api.Action]:
+        was_established = outcome.request_id in self._established
+        self._established.discard(outcome.request_id)
+        if was_established or outcome.is_final or outcome.status is AttemptStatus.UNUSED:
+            self._pending.pop(outcome.request_id, None)
+        elif outcome.request_id in self._pending:
+            return self._place(outcome.request_id, now_us)
+        return []
+
+    def _place(self, request_id: str, now_us: int) -> list[api.Action]:
+        """Send to the selected server, or reject the request."""
+        pending = self._pending[request_id]
+        left_us = pending.deadline_us - now_us - ANSWER_MARGIN_US
         server = None
-        if len(tried) < TRIES and left_us > 0:
-            server = self._choose(asked, [name for name in self._ready if name not in tried], now_us)
+        if len(pending.tried) < MAX_ATTEMPTS and left_us > 0:
+            candidates = [name for name in self._ready if name not in pending.tried]
+            server = self._select_server(pending.request, candidates, now_us)
         if server is None:
-            del self._asked[request]
-            advice_us = min(ADVICE_US, self._settings.max_retry_after_us)
-            return [api.Reject(request, advice_us * self._settings.can_advise_retry_after)]
-        tried.append(server)
-        wait_us = left_us if len(tried) == TRIES else left_us // 2
-        return [api.Send(request, server, now_us + wait_us)]
-
-    def _choose(self, asked: api.Request, names: list[str], now_us: int) -> str | None:
+            del self._pending[request_id]
+            return [api.Reject(request_id, self._retry_after_us())]
+        pending.tried.append(server)
+        is_last = len(pending.tried) == MAX_ATTEMPTS
+        return [api.Send(request_id, server, now_us + (left_us if is_last else left_us // 2))]
+
+    def _retry_after_us(self) -> int:
+        if not self._settings.can_advise_retry_after:
+            return 0
+        return min(RETRY_AFTER_US, self._settings.max_retry_after_us)
+
+    def _select_server(self, request: api.Request, candidates: list[str], now_us: int) -> str | None:
         raise NotImplementedError
 
-    def _bears(self, machine: ServerModel, units: float, now_us: int) -> bool:
-        """Whether a cold machine's budget has room, seen as a whole (both policies see it: it is a rule)."""
-        if machine.warm_up_fraction(now_us) >= 1.0:
+    def _is_within_warm_up_budget(self, server: ServerModel, units: float, now_us: int) -> bool:
+        """Whether a server in slow start can take a session, seen over all proxies: the budget is a rule."""
+        if server.warm_up_fraction(now_us) >= 1.0:
             return True
-        spent = machine.warm_up_budget.spent_units(now_us)
-        under_way = machine.setups_in_progress * 2.0
-        return spent + under_way + units <= COLD_PART * machine.max_warm_up_units(now_us)
+        spent_units = server.warm_up_budget.spent_units(now_us)
+        in_flight_units = server.setups_in_progress * RANDOM_POLICY_UNITS
+        return spent_units + in_flight_units + units <= WARM_UP_SHARE * server.max_warm_up_units(now_us)
 
 
-class RandomPolicy(_Placing):
+class RandomPolicy(PlacementPolicy):
     """Random choice among the ready servers."""
 
-    def _choose(self, asked: api.Request, names: list[str], now_us: int) -> str | None:
-        while names:
-            name = names.pop(int(self._random.random() * len(names)))
-            if self._bears(self._world.servers[name], 2.0, now_us):
+    def _select_server(self, request: api.Request, candidates: list[str], now_us: int) -> str | None:
+        while candidates:
+            name = candidates.pop(int(self._random.random() * len(candidates)))
+            if self._is_within_warm_up_budget(self._world.servers[name], RANDOM_POLICY_UNITS, now_us):
                 return name
         return None
 
 
-class OmniscientPolicy(_Placing):
-    """The server that would be least loaded with this connection, seen as it truly is.
+class OmniscientPolicy(PlacementPolicy):
+    """The server that would be least utilized with this session, by its true state.
 
-    Four times a second it moves connections off servers that are over `RELIEVE`, the heaviest for their worth
-    first, as long as another has room; low worth is refused before high.
+    Four times a second it migrates sessions off servers over `MAX_UTILIZATION`, the heaviest for their priority weight
+    first, as long as another server has capacity; low priority is rejected before high.
     """
 
     def __init__(self, world: WorldState, settings: api.Settings, seed: int) -> None:
         super().__init__(world, settings, seed)
-        self._mine: dict[str, dict[str, api.Request]] = {}  # standing, by server
-        self._at: dict[str, str] = {}
-        self._top_worth = max(profile.worth for profile in settings.profiles) or 1.0
+        self._sessions: dict[str, dict[str, api.Request]] = {}  # established, by server
+        self._server_of: dict[str, str] = {}  # by request
+        self._max_weight = max(profile.worth for profile in settings.profiles) or 1.0
 
     def start(self, now_us: int) -> list[api.Action]:
-        return [api.SetTimer(now_us + RELIEF_US + 7_919 * self._settings.rank, 0)]
+        """Schedule the first rebalancing, at a phase of this proxy's own."""
+        return [api.SetTimer(now_us + REBALANCE_INTERVAL_US + REBALANCE_PHASE_STEP_US * self._settings.rank, 0)]
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
+        """Take one event; gives what to do."""
         match event:
             case api.TimerExpired():
-                return [api.SetTimer(now_us + RELIEF_US, 0), *self._relieve(now_us)]
+                return [api.SetTimer(now_us + REBALANCE_INTERVAL_US, 0), *self._rebalance()]
             case api.AttemptEstablished():
-                self._stands(self._asked[event.request_id][0], event.server)
+                self._add_session(self._pending[event.request_id].request, event.server)
             case api.SessionRestored():
-                self._stands(event.request, event.server)
+                self._add_session(event.request, event.server)
             case api.AttemptOutcome():
-                server = self._at.pop(event.request_id, None)
+                server = self._server_of.pop(event.request_id, None)
                 if server is not None:
-                    del self._mine[server][event.request_id]
+                    del self._sessions[server][event.request_id]
         return super().handle(event, now_us)
 
-    def _stands(self, asked: api.Request, server: str) -> None:
-        self._at[asked.request_id] = server
-        self._mine.setdefault(server, {})[asked.request_id] = asked
-
-    def _relieve(self, now_us: int) -> list[api.Action]:
-        moves: list[api.Action] = []
-        machines = self._world.servers
-        over = [name for name, held in self._mine.items() if held and machines[name].utilization > RELIEVE]
-        room = sum(machine.utilization < RELIEVE - 0.2 for machine in self._world.serving_servers())
-        for name in over[: max(0, room)]:
-            machine = machines[name]
-            if machine.lifecycle is not ServerLifecycle.SERVING:
-                continue
-            held = [
-                (machine.connections[each].load_units / (0.1 + self._worth(asked)), each)
-                for each, asked in self._mine[name].items()
-                if each in machine.connections
-            ]
-            held.sort(reverse=True)
-            left = machine.total_load_units
-            most = (machine.utilization - RELIEVE + 0.05) / machine.utilization * left
-            moved = 0.0
-            for _, each in held:
-                units = machine.connections[each].load_units
-                if moved + units <= most * 1.2:
-                    moved += units
-                    moves.append(api.Migrate(each))
-                if moved >= most:
-                    break
-        return moves
-
-    def _worth(self, asked: api.Request) -> float:
-        return self._settings.profiles[asked.request_class].worth / self._top_worth
-
-    def _choose(self, asked: api.Request, names: list[str], now_us: int) -> str | None:
-        best, best_cost = None, float("inf")
-        if len(names) > 64:  # a large fleet: the best of many drawn is as good as the best
-            names = self._random.sample(names, 64)
-        for name in names:
-            machine = self._world.servers[name]
-            if machine.lifecycle is not ServerLifecycle.SERVING or machine.is_resetting:
+    def _add_session(self, request: api.Request, server: str) -> None:
+        self._server_of[request.request_id] = server
+        self._sessions.setdefault(server, {})[request.request_id] = request
+
+    def _rebalance(self) -> list[api.Action]:
+        """Migrate sessions off overloaded servers, at most as many servers as have capacity elsewhere."""
+        servers = self._world.servers
+        overloaded = [
+            name
+            for name, sessions in self._sessions.items()
+            if sessions and servers[name].utilization > MAX_UTILIZATION
+        ]
+        spare_limit = MAX_UTILIZATION - SPARE_UTILIZATION
+        spare_count = sum(1 for server in self._world.serving_servers() if server.utilization < spare_limit)
+        migrations: list[api.Action] = []
+        for name in overloaded[:spare_count]:
+            if servers[name].lifecycle is ServerLifecycle.SERVING:
+                migrations += self._relieve(servers[name])
+        return migrations
+
+    def _relieve(self, server: ServerModel) -> list[api.Action]:
+        """Migrate own sessions until the server is a little under the limit."""
+        by_weight = sorted(
+            (
+                (server.connections[request_id].load_units / (0.1 + self._relative_weight(request)), request_id)
+                for request_id, request in self._sessions[server.name].items()
+                if request_id in server.connections
+            ),
+            reverse=True,
+        )
+        excess_share = (server.utilization - MAX_UTILIZATION + 0.05) / server.utilization
+        excess_units = excess_share * server.total_load_units
+        migrated_units = 0.0
+        migrations: list[api.Action] = []
+        for _, request_id in by_weight:
+            units = server.connections[request_id].load_units
+            if migrated_units + units <= excess_units * 1.2:
+                migrated_units += units
+                migrations.append(api.Migrate(request_id))
+            if migrated_units >= excess_units:
+                break
+        return migrations
+
+    def _relative_weight(self, request: api.Request) -> float:
+        """Priority weight, relative to the highest."""
+        return self._settings.profiles[request.request_class].worth / self._max_weight
+
+    def _select_server(self, request: api.Request, candidates: list[str], now_us: int) -> str | None:
+        if len(candidates) > MAX_CANDIDATES:
+            candidates = self._random.sample(candidates, MAX_CANDIDATES)
+        max_cost = MAX_FILL - LOW_PRIORITY_FILL_REDUCTION * (1.0 - self._relative_weight(request))
+        selected = None
+        selected_cost = float("inf")
+        for name in candidates:
+            server = self._world.servers[name]
+            if server.lifecycle is not ServerLifecycle.SERVING or server.is_resetting:
                 continue
-            machine.advance_to(now_us)
-            units = machine.expected_load_units(asked.group) + machine.setups_in_progress
-            full = machine.properties.capacity_units * machine.warm_up_fraction(now_us)
-            cost = machine.utilization + units / full + machine.queueing_delay_s()
-            if cost >= FILL - LOW_WORTH * (1.0 - self._worth(asked)) or not self._bears(machine, units, now_us):
+            server.advance_to(now_us)
+            units = server.expected_load_units(request.group) + server.setups_in_progress
+            capacity_units = server.properties.capacity_units * server.warm_up_fraction(now_us)
+            cost = server.utilization + units / capacity_units + server.queueing_delay_s()
+            if cost >= max_cost or not self._is_within_warm_up_budget(server, units, now_us):
                 continue
-            cost += CROSSING * (machine.properties.zone != self._settings.zone)
-            if cost < best_cost:
-                best, best_cost = name, cost
-        return best
+            if server.properties.zone != self._settings.zone:
+                cost += REMOTE_ZONE_COST
+            if cost < selected_cost:
+                selected = name
+                selected_cost = cost
+        return selected
 
 
 def random_policy(world: WorldState) -> MakePolicy:
+    """The floor of the comparison."""
     return lambda settings, seed: RandomPolicy(world, settings, seed)
 
 
 def omniscient_policy(world: WorldState) -> MakePolicy:
+    """The top of the comparison."""
     return lambda settings, seed: OmniscientPolicy(world, settings, seed)
