--- a/stoatgw/emulator/loopback/processes.py
+++ b/stoatgw/emulator/loopback/processes.py
@@ -15,46 +15,47 @@
 from typing import Any, BinaryIO
 
 ROOT = Path(__file__).resolve().parent.parent.parent.parent
-STOP_S = 6.0  # a proxy that was asked to stop has so long
+STOP_TIMEOUT_S = 6.0
+READY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.05
+STOP_POLL_INTERVAL_S = 0.02
+PING_TIMEOUT_S = 1.0
+UNREADABLE_EVENT = "unreadable"  # stands for a log line that is no JSON
 
 
 class ProxyProcess:
-    """One real proxy, pinned to a core, with its log in a file."""
+    """One real proxy, pinned to cores, with its log in a file."""
 
     def __init__(
-        self, name: str, config: dict[str, Any], folder: Path, cores: set[int], operators: dict[str, str] | None = None
+        self,
+        name: str,
+        config: dict[str, Any],
+        folder: Path,
+        cores: set[int],
+        environment: dict[str, str] | None = None,
     ) -> None:
-        """`operators`: further environment, such as the name of the operators' own file."""
-        self._operators = operators or {}
-        self.name, self._folder, self._cores = name, folder, cores
+        """`environment`: further variables, such as the name of the operators' own file."""
+        self.name = name
+        self.address = _parse_address(config["listen"])
+        self.logs: list[Path] = []
+        self._folder = folder
+        self._cores = cores
+        self._environment = environment or {}
         self._config = folder / f"{name}.json"
         self._config.write_text(json.dumps(config))
-        self.address: tuple[str, int] = _address(config["listen"])
-        self._starts = 0
+        self._start_count = 0
         self._process: subprocess.Popen[bytes] | None = None
         self._log: BinaryIO | None = None
-        self.logs: list[Path] = []
-        self.frozen = False
 
     def start(self) -> None:
-        """Start it anew; its environment names its configuration alone."""
-        self._starts += 1
-        path = self._folder / f"{self.name}-{self._starts}.log"
+        """Start it anew, with a log of its own."""
+        self._start_count += 1
+        path = self._folder / f"{self.name}-{self._start_count}.log"
         self.logs.append(path)
         self._log = path.open("wb")
-        environment = (
-            {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))}
-            | {
-                "LB_CONFIG": str(self._config),
-                "LB_NAME": self.name,
-                "PYTHONDONTWRITEBYTECODE": "1",
-                "PYTHONPATH": str(ROOT),
-            }
-            | self._operators
-        )
         self._process = subprocess.Popen(
             [sys.executable, "-m", "stoatgw"],
-            env=environment,
+            env=self._full_environment(),
             stdout=self._log,
             stderr=subprocess.STDOUT,
             stdin=subprocess.DEVNULL,
@@ -63,80 +64,102 @@
         with contextlib.suppress(OSError):
             os.sched_setaffinity(self._process.pid, self._cores)
 
+    def _full_environment(self) -> dict[str, str]:
+        """Our own environment, with no configuration but this proxy's."""
+        inherited = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))}
+        own = {
+            "LB_CONFIG": str(self._config),
+            "LB_NAME": self.name,
+            "PYTHONDONTWRITEBYTECODE": "1",
+            "PYTHONPATH": str(ROOT),
+        }
+        return inherited | own | self._environment
+
     @property
     def is_running(self) -> bool:
+        """Whether the process was started and has not ended."""
         return self._process is not None and self._process.poll() is None
 
     @property
     def pid(self) -> int:
+        """The id of the process started last, or 0."""
         return self._process.pid if self._process is not None else 0
 
+    @property
+    def exit_status(self) -> int | None:
+        """The status of a process that has ended."""
+        return self._process.poll() if self._process is not None else None
+
     def peak_memory_mib(self) -> int:
-        """Resident memory at its most, of the process that runs now; 0 where none does."""
+        """Peak resident memory of the process that runs now; 0 if none does."""
         with contextlib.suppress(OSError, ValueError):
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
                     return int(line.split()[1]) // 1024
         return 0
 
-    @property
-    def exit_status(self) -> int | None:
-        return self._process.poll() if self._process is not None else None
-
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal, if the process runs."""
         if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
-    async def wait_ready(self, within_s: float = 20.0) -> bool:
-        """Wait until PING is answered PONG."""
-        until = time.monotonic() + within_s
-        while time.monotonic() < until and self.is_running:
+    async def wait_ready(self, timeout_s: float = READY_TIMEOUT_S) -> bool:
+        """Wait until PING is answered by PONG; False if the process ends or the time is over before."""
+        deadline_s = time.monotonic() + timeout_s
+        while time.monotonic() < deadline_s and self.is_running:
             with contextlib.suppress(OSError, TimeoutError):
-                async with asyncio.timeout(1.0):
-                    reader, writer = await asyncio.open_connection(*self.address)
-                    try:
-                        writer.write(b"PING\r\n")
-                        if (await reader.readline()).startswith(b"PONG"):
-                            return True
-                    finally:
-                        writer.close()
-            await asyncio.sleep(0.05)
+                if await self._ping():
+                    return True
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
-    async def wait_stopped(self, within_s: float = STOP_S) -> bool:
-        """Wait for its end; killed when it does not come, and False."""
-        until = time.monotonic() + within_s
-        while self.is_running and time.monotonic() < until:
-            await asyncio.sleep(0.02)
-        if self.is_running:
-            self.kill()
-            return False
-        return True
+    async def _ping(self) -> bool:
+        async with asyncio.timeout(PING_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(*self.address)
+            try:
+                writer.write(b"PING\r\n")
+                return (await reader.readline()).startswith(b"PONG")
+            finally:
+                writer.close()
+
+    async def wait_stopped(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
+        """Wait for the end of the process; kill it and give False when it does not come in time."""
+        deadline_s = time.monotonic() + timeout_s
+        while True:
+            if not self.is_running:
+                return True
+            if time.monotonic() >= deadline_s:
+                self.kill()
+                return False
+            await asyncio.sleep(STOP_POLL_INTERVAL_S)
 
     def kill(self) -> None:
+        """Kill the process, if it runs, and reap it."""
         if self._process is not None and self.is_running:
             self._process.kill()
             self._process.wait()
 
-    def read_log_events(self, number: int | None = None) -> list[dict[str, Any]]:
-        """What its logs say: of all starts, or of one (1 is the first)."""
-        paths = self.logs if number is None else self.logs[number - 1 : number]
-        found = []
-        for path in paths:
-            for line in path.read_bytes().splitlines():
-                try:
-                    found.append(json.loads(line))
-                except ValueError:
-                    found.append({"event": "unreadable", "text": line[:200].decode("utf-8", "replace")})
-        return found
+    def read_log_events(self, start_number: int | None = None) -> list[dict[str, Any]]:
+        """Its log events: of all starts, or of one (1 is the first)."""
+        paths = self.logs if start_number is None else self.logs[start_number - 1 : start_number]
+        return [_decode_log_line(line) for path in paths for line in path.read_bytes().splitlines()]
 
     def close(self) -> None:
+        """Kill the process and close its log."""
         self.kill()
         if self._log is not None:
             self._log.close()
 
 
-def _address(text: str) -> tuple[str, int]:
+def _decode_log_line(line: bytes) -> dict[str, Any]:
+    try:
+        event: dict[str, Any] = json.loads(line)
+    except ValueError:
+        return {"event": UNREADABLE_EVENT, "text": line[:200].decode("utf-8", "replace")}
+    return event
+
+
+def _parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     socket.inet_aton(host)
     return host, int(port)
--- a/stoatgw/emulator/virtual/endpoints.py
+++ b/stoatgw/emulator/virtual/endpoints.py
@@ -9,7 +9,6 @@
 from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Lifecycle
 from stoatgw.emulator.virtual.proxy import VirtualProxy
 from stoatgw.emulator.world.endpoint_publication import EndpointEntry
-from stoatgw.emulator.world.events import EventKind
 from stoatgw.emulator.world.world_state import WorldState
 
 LIFECYCLES = {"SERVING": Lifecycle.ACTIVE, "DRAINING": Lifecycle.DRAINING, "DELETED": Lifecycle.REMOVED}
@@ -26,21 +25,8 @@
 def deliver_endpoints(world: WorldState, proxy: VirtualProxy, entries: list[EndpointEntry], is_snapshot: bool) -> None:
     """Notify a proxy of endpoints; runs in its process."""
     endpoints = to_endpoints(entries)
-    log_notified(world, proxy.name, entries)
+    world.log_notified(proxy.index, entries)
     listed = [ListedEndpoint(endpoint, endpoint.name, 0) for endpoint in endpoints]
     proxy.backends.update(listed, is_snapshot=is_snapshot, now_us=world.scheduler.now_us())
     kind = EndpointUpdateKind.SNAPSHOT if is_snapshot else EndpointUpdateKind.DELTA
     proxy.controller.post(EndpointsUpdated(EndpointUpdate(kind, 0, endpoints)))
-
-
-def log_notified(world: WorldState, proxy_name: str, entries: list[EndpointEntry]) -> None:
-    """Record what a proxy was notified of; starts before the run count as 0."""
-    for entry in entries:
-        started_us = entry.started_us - world.start_us if entry.started_us else 0
-        world.log(
-            EventKind.ENDPOINT_NOTIFIED,
-            proxy_name,
-            server=entry.server,
-            number=started_us,
-            detail=entry.lifecycle,
-        )
--- a/stoatgw/emulator/world/world_state.py
+++ b/stoatgw/emulator/world/world_state.py
@@ -100,6 +100,17 @@
         time_us = self.scheduler.now_us() - self.start_us
         self.sink.record(Event(time_us, kind, proxy, request_id, server, number, detail))
 
+    def log_notified(self, proxy: int, entries: list[EndpointEntry]) -> None:
+        """Record what a proxy was notified of; starts before the run count as 0."""
+        for entry in entries:
+            self.log(
+                EventKind.ENDPOINT_NOTIFIED,
+                self.proxy_names[proxy],
+                server=entry.server,
+                number=entry.started_us - self.start_us if entry.started_us else 0,
+                detail=entry.lifecycle,
+            )
+
     # Network.
 
     @property
