--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker can fail: for each rule, a module or a proxy that is broken on purpose, and a log written by hand."""
+"""The checker can fail: for each rule, a policy or a proxy that is broken on purpose, and a log written by hand."""
 
 from __future__ import annotations
 
@@ -17,20 +17,21 @@
 from stoatgw.emulator.virtual.session_model import Session
 from stoatgw.emulator.world.events import Event, EventKind
 from stoatgw.emulator.world.world_state import WorldState
-from tests.test_emulator import play, scenario
+from tests.test_emulator import load_by_name, play
 
 
 def rules_broken(name: str, *changes: str, policy: Any = None, seed: int = 1) -> set[Rule]:
-    day = scenario(name, *changes)
-    _, checker, _ = play(day, seed, policy) if policy else play(day, seed)
+    scenario = load_by_name(name, *changes)
+    _, checker, _ = play(scenario, seed, policy) if policy else play(scenario, seed)
     return {each.rule for each in checker.violations}
 
 
-class Stubborn:
-    """A module that sends every req to one server, chosen by `pick` from the list, whatever its state."""
+class FixedServerPolicy:
+    """Sends every request to one server, chosen by `pick` from the list, whatever its state."""
 
     def __init__(self, pick: Any) -> None:
-        self._pick, self._listed = pick, dict[str, api.Endpoint]()
+        self._pick = pick
+        self._listed: dict[str, api.Endpoint] = {}
 
     def start(self, now_us: int) -> list[api.Action]:
         return []
@@ -45,10 +46,10 @@
         return []
 
 
-def stubborn(pick: Any) -> Any:
+def always_send_to(pick: Any) -> Any:
     def policy(_: WorldState) -> MakePolicy:
         def make(settings: api.Settings, seed: int) -> DecisionPolicy:
-            return Stubborn(pick)
+            return FixedServerPolicy(pick)
 
         return make
 
@@ -106,19 +107,19 @@
     assert Rule.SINGLE_ATTEMPT in rules_broken("calm")
 
 
-def test_sending_to_a_leaving_server_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_sending_to_a_draining_server_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Backend, "accepts_new_sessions", lambda self, now_us, grace_us: True)
-    leaving = stubborn(
+    draining = always_send_to(
         lambda listed: next(
             (name for name, entry in listed.items() if entry.lifecycle is api.Lifecycle.DRAINING), "s-0000"
         )
     )
     # A server that drains for so long that it still answers when the grace is over.
-    assert Rule.NO_SEND_TO_DRAINING in rules_broken("shrink", "fleet.drain_s=[20, 30]", policy=leaving)
+    assert Rule.NO_SEND_TO_DRAINING in rules_broken("shrink", "fleet.drain_s=[20, 30]", policy=draining)
 
 
-def test_pushing_over_a_cold_server_is_caught() -> None:
-    newest = stubborn(lambda listed: max(listed.values(), key=lambda entry: entry.started_us).name)
+def test_overloading_a_server_in_slow_start_is_caught() -> None:
+    newest = always_send_to(lambda listed: max(listed.values(), key=lambda entry: entry.started_us).name)
     assert Rule.SLOW_START_BUDGET in rules_broken("grow", policy=newest)
 
 
@@ -127,7 +128,7 @@
     assert Rule.NO_BROKEN_SESSION in rules_broken("restarts")
 
 
-def test_a_proxy_that_keeps_records_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_proxy_that_leaks_requests_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def keep(self: RequestTable, req: RequestState) -> None:
         pass
 
@@ -135,21 +136,22 @@
     assert Rule.NO_LEAKED_REQUEST in rules_broken("calm")
 
 
-def test_a_module_that_raises_is_caught() -> None:
+def test_a_policy_that_raises_is_caught() -> None:
     def fail(listed: Any) -> str:
         raise RuntimeError("broken on purpose")
 
-    found = rules_broken("calm", policy=stubborn(fail))
-    assert Rule.NO_PROGRAM_FAULT in found and Rule.SINGLE_ANSWER not in found  # the owner answers all the same
+    found = rules_broken("calm", policy=always_send_to(fail))
+    assert Rule.NO_PROGRAM_FAULT in found
+    assert Rule.SINGLE_ANSWER not in found  # the controller answers all the same
 
 
 # Logs written by hand.
 
-FIGURES = CheckerLimits(drain_grace_us=3_000_000, slow_start_multiple=4.0, slow_start_window_us=1_000_000)
+LIMITS = CheckerLimits(drain_grace_us=3_000_000, slow_start_multiple=4.0, slow_start_window_us=1_000_000)
 
 
-def judge(*rows: tuple[Any, ...], end_us: int = 10_000_000) -> list[Rule]:
-    checker = Checker(FIGURES)
+def check(*rows: tuple[Any, ...], end_us: int = 10_000_000) -> list[Rule]:
+    checker = Checker(LIMITS)
     for row in rows:
         checker.feed(Event(*row))
     return [each.rule for each in checker.finish(end_us)]
@@ -230,16 +232,16 @@
         ([(0, EventKind.PROGRAM_FAULT, "n0", "", "", 0, "fault")], [Rule.NO_PROGRAM_FAULT]),
     ],
 )
-def test_a_log_is_judged(rows: list[tuple[Any, ...]], rules: list[Rule]) -> None:
-    assert judge(*rows) == rules
+def test_a_log_is_checked(rows: list[tuple[Any, ...]], rules: list[Rule]) -> None:
+    assert check(*rows) == rules
 
 
 @pytest.mark.parametrize(
-    ("units", "knew", "rules"), [(1, True, []), (2, True, [Rule.SLOW_START_BUDGET]), (2, False, [])]
+    ("units", "is_notified", "rules"), [(1, True, []), (2, True, [Rule.SLOW_START_BUDGET]), (2, False, [])]
 )
-def test_a_cold_budget_is_judged(units: int, knew: bool, rules: list[Rule]) -> None:
+def test_the_slow_start_budget_is_checked(units: int, is_notified: bool, rules: list[Rule]) -> None:
     """50 units fill it in 24 s: 4 x 0.2 x 50 / 24, and 3 for chance, may come within a second."""
     rows: list[tuple[Any, ...]] = [(0, EventKind.SERVER_STARTED, "", "", "a", 50_000, "0.2,24000000")]
-    rows += [(1, EventKind.ENDPOINT_NOTIFIED, "n0", "", "a", 0, "SERVING")] if knew else []
+    rows += [(1, EventKind.ENDPOINT_NOTIFIED, "n0", "", "a", 0, "SERVING")] if is_notified else []
     rows += [(10 + number, EventKind.ATTEMPT_EXECUTED, "n0", f"r{number}", "a", 0, str(units)) for number in range(4)]
-    assert judge(*rows) == rules
+    assert check(*rows) == rules
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator: virtual time, the model of a server, demand, and days that must keep all rules."""
+"""The emulator: virtual time, the model of a server, demand, and runs that must keep all rules."""
 
 from __future__ import annotations
 
@@ -42,21 +42,21 @@
 SECOND = 1_000_000
 
 
-def scenario(name: str, *changes: str) -> Scenario:
+def load_by_name(name: str, *changes: str) -> Scenario:
     return load_scenario(ROOT / "scenarios" / f"{name}.toml", (*SMALL.get(name, ()), *changes))
 
 
 def play(
-    day: Scenario,
+    scenario: Scenario,
     seed: int = 1,
     policy: PolicyBuilder = balancer_policy,
     shuffle: int | None = None,
     chance: Callable[[float], float] | None = None,
 ) -> tuple[VirtualDriver, Checker, list[Event]]:
-    rules, events = day.module, list[Event]()
-    figures = CheckerLimits(int(rules.drain_grace_ms * 1000), rules.fall_multiple, int(rules.fall_ms * 1000))
-    checker = Checker(replace(figures, allowed_excess_units=chance) if chance is not None else figures)
-    driver = VirtualDriver(day, seed, EventSink((checker.feed, events.append)), policy, shuffle)
+    rules, events = scenario.module, list[Event]()
+    limits = CheckerLimits(int(rules.drain_grace_ms * 1000), rules.fall_multiple, int(rules.fall_ms * 1000))
+    checker = Checker(replace(limits, allowed_excess_units=chance) if chance is not None else limits)
+    driver = VirtualDriver(scenario, seed, EventSink((checker.feed, events.append)), policy, shuffle)
     driver.run()
     checker.finish(driver.world.length_us + SETTLE_US)
     return driver, checker, events
@@ -65,40 +65,41 @@
 # Virtual time.
 
 
-def test_one_microsecond_has_an_order_of_its_own_and_a_shuffled_one() -> None:
+def test_timers_of_one_microsecond_run_in_scheduling_order_or_shuffled() -> None:
     def order(shuffle: int | None) -> list[int]:
-        kernel = VirtualScheduler(0, None if shuffle is None else np.random.default_rng(shuffle))
+        scheduler = VirtualScheduler(0, None if shuffle is None else np.random.default_rng(shuffle))
         ran: list[int] = []
         for number in range(20):
-            kernel.call_at(5, lambda n=number: ran.append(n))  # type: ignore[misc]
-        kernel.call_at(4, lambda: kernel.call_soon(lambda: ran.append(-1)))
-        kernel.run_until(10)
-        assert kernel.now_us() == 10
+            scheduler.call_at(5, lambda n=number: ran.append(n))  # type: ignore[misc]
+        scheduler.call_at(4, lambda: scheduler.call_soon(lambda: ran.append(-1)))
+        scheduler.run_until(10)
+        assert scheduler.now_us() == 10
         return ran
 
     assert order(None) == [-1, *range(20)]
-    assert order(1)[0] == -1 and sorted(order(1)) == [-1, *range(20)]
+    assert order(1)[0] == -1
+    assert sorted(order(1)) == [-1, *range(20)]
     assert order(1) == order(1) != order(2)
 
 
 def test_a_frozen_process_runs_late_and_a_killed_one_never() -> None:
-    kernel = VirtualScheduler(0)
-    loop = ProcessEventLoop(kernel)  # type: ignore[abstract]
+    scheduler = VirtualScheduler(0)
+    loop = ProcessEventLoop(scheduler)  # type: ignore[abstract]
     seen: list[str] = []
 
     async def sleeper(name: str) -> None:
         await asyncio.sleep(1.0)
-        seen.append(f"{name} at {kernel.now_us()}")
+        seen.append(f"{name} at {scheduler.now_us()}")
 
     loop.deliver(seen.clear)
     tasks = [loop.create_task(sleeper("a"))]
-    kernel.call_at(500_000, loop.freeze)
-    kernel.call_at(3_000_000, loop.thaw)
-    kernel.run_until(4_000_000)
+    scheduler.call_at(500_000, loop.freeze)
+    scheduler.call_at(3_000_000, loop.thaw)
+    scheduler.run_until(4_000_000)
     assert seen == ["a at 3000000"]
     tasks.append(loop.create_task(sleeper("b")))
-    kernel.call_at(4_500_000, loop.kill)
-    kernel.run_until(9_000_000)
+    scheduler.call_at(4_500_000, loop.kill)
+    scheduler.run_until(9_000_000)
     assert seen == ["a at 3000000"]
     tasks[1]._log_destroy_pending = False  # type: ignore[attr-defined]
 
@@ -106,13 +107,13 @@
 # The model of a server.
 
 
-def machine(started: int = 0, **fleet: Any) -> ServerModel:
+def make_server(started: int = 0, **fleet: Any) -> ServerModel:
     kind = ServerKind(name="k", share=1.0, cores=2, cold_from=(0.2, 0.2), cold_s=(10.0, 10.0))
     plain = {"per_core": (25.0, 25.0), "full_tax": (0.0, 0.0), "cap": (1.5, 1.5), "message": (0.05, 0.05)}
     rows = Fleet(kinds=(kind,), **(plain | fleet))
     drawn = draw_server_properties(ServerIdentity("s-0000", zone=0, kind=0), rows, 0.1, np.random.default_rng(1))
-    ledger = ServiceAccounting(0, 60, (2.0, 1.0))
-    return ServerModel(drawn, (0.1, 0.25), Module(), ledger, np.random.default_rng(2), 0, started)
+    accounting = ServiceAccounting(0, 60, (2.0, 1.0))
+    return ServerModel(drawn, (0.1, 0.25), Module(), accounting, np.random.default_rng(2), 0, started)
 
 
 def fill(server: ServerModel, units: float, count: int = 10) -> None:
@@ -120,8 +121,8 @@
         server.add_connection(server.now_us, HeldConnection(f"c{number}", 0, units / count, None))
 
 
-def test_a_pause_piles_up_work_that_is_done_afterwards() -> None:
-    server = machine()
+def test_a_pause_builds_a_backlog_that_is_worked_off_afterwards() -> None:
+    server = make_server()
     fill(server, 25.0)  # half of what it can do
     server.pause(0, 200_000)
     server.advance_to(100_000)
@@ -136,24 +137,27 @@
     assert 0.0 < earned < 2.0 * 10 * 0.3  # no message came in time while it stood still
 
 
-def test_load_over_capacity_piles_up_until_the_newest_are_dropped() -> None:
-    server = machine(buffer_s=(0.5, 0.5))
+def test_load_over_capacity_builds_a_backlog_until_the_newest_are_dropped() -> None:
+    server = make_server(buffer_s=(0.5, 0.5))
     fill(server, 100.0)
     server.advance_to(1 * SECOND)
     assert server.backlog_s == pytest.approx(1.0, rel=0.05)
     dropped = server.refresh_report(1 * SECOND)
-    assert dropped[0].connection_id == "c9" and len(dropped) >= 5
+    assert dropped[0].connection_id == "c9"
+    assert len(dropped) >= 5
 
 
-def test_messages_are_later_the_fuller_it_is() -> None:
-    server = machine()
+def test_messages_are_later_at_higher_utilization() -> None:
+    server = make_server()
     shares = [server.on_time_fraction(0.1, 0.0, load_scenario) for load_scenario in (0.0, 0.5, 0.9, 0.97)]
-    assert shares == sorted(shares, reverse=True) and shares[0] > 0.999 and shares[2] < 0.9
+    assert shares == sorted(shares, reverse=True)
+    assert shares[0] > 0.999
+    assert shares[2] < 0.9
     assert server.on_time_fraction(0.1, 0.1, 0.0) == 0.0
 
 
-def test_a_cold_server_warms_up_and_falls_over_when_sent_too_much() -> None:
-    server = machine(started=1)
+def test_a_server_in_slow_start_warms_up_and_collapses_when_sent_too_much() -> None:
+    server = make_server(started=1)
     assert server.warm_up_fraction(1) == pytest.approx(0.2)
     assert server.warm_up_fraction(5 * SECOND) == pytest.approx(0.6, abs=0.01)
     assert server.warm_up_fraction(11 * SECOND) == 1.0
@@ -167,19 +171,21 @@
     assert fallen
 
 
-def test_it_pays_what_the_scenario_says_for_a_group() -> None:
-    server = machine(group_cost=3.0)
+def test_a_group_costs_what_the_scenario_says() -> None:
+    server = make_server(group_cost=3.0)
     server.add_connection(0, HeldConnection("a", 0, 1.0, 7))
-    assert server.utilization == pytest.approx(4.0 / 50, rel=0.01) and server.expected_load_units(8) == 4.0
+    assert server.utilization == pytest.approx(4.0 / 50, rel=0.01)
+    assert server.expected_load_units(8) == 4.0
 
 
-def test_it_pays_once_for_a_group_and_turns_away_over_its_cap() -> None:
-    server = machine()
+def test_a_group_costs_once_and_sessions_over_the_limit_are_rejected() -> None:
+    server = make_server()
     server.add_connection(0, HeldConnection("a", 0, 1.0, 7))
     alone = server.utilization
     server.add_connection(0, HeldConnection("b", 0, 1.0, 7))
     assert server.utilization - alone == pytest.approx(1.0 / 50)
-    assert server.expected_load_units(7) == 1.0 and server.expected_load_units(8) == 2.0
+    assert server.expected_load_units(7) == 1.0
+    assert server.expected_load_units(8) == 2.0
     for number in range(server.properties.max_connections - 2):
         server.add_connection(0, HeldConnection(str(number), 1, 0.1, None))
     assert server.handle_open(0, 1.0, None, SECOND).outcome == "busy"
@@ -187,8 +193,8 @@
     assert server.handle_open(0, 1.0, None, SECOND).outcome == "up"
 
 
-def test_a_set_up_that_would_come_too_late_is_turned_away() -> None:
-    server = machine()
+def test_a_set_up_that_would_come_too_late_is_rejected() -> None:
+    server = make_server()
     server.pause(0, 2 * SECOND)
     answer = server.handle_open(0, 1.0, None, SECOND)
     assert (answer.outcome, answer.decided_at_us) == ("busy", SECOND)
@@ -196,8 +202,9 @@
 
 @settings(derandomize=True, max_examples=40, deadline=None)
 @given(st.lists(st.tuples(st.sampled_from("hrcpa"), st.integers(0, 9), st.floats(0.0, 9.0)), max_size=40))
-def test_a_machine_keeps_its_sums(steps: list[tuple[str, int, float]]) -> None:
-    server, now_us = machine(), 0
+def test_a_server_keeps_its_sums(steps: list[tuple[str, int, float]]) -> None:
+    server = make_server()
+    now_us = 0
     for what, number, value in steps:
         now_us += 10_000
         name = f"c{number}"
@@ -221,11 +228,12 @@
 
 
 def test_demand_depends_on_the_seed_alone() -> None:
-    day = scenario("rush")
-    other = scenario("rush", "proxies.count=2", "module.probes=false", "discovery.add_s=[0, 0]")
-    one, two = draw_population(day, 400.0, RandomStreams(5)), draw_population(other, 400.0, RandomStreams(5))
-    assert (one.arrival_us == two.arrival_us).all() and (one.load_units == two.load_units).all()
-    third = draw_population(day, 400.0, RandomStreams(6))
+    scenario = load_by_name("rush")
+    other = load_by_name("rush", "proxies.count=2", "module.probes=false", "discovery.add_s=[0, 0]")
+    one, two = draw_population(scenario, 400.0, RandomStreams(5)), draw_population(other, 400.0, RandomStreams(5))
+    assert (one.arrival_us == two.arrival_us).all()
+    assert (one.load_units == two.load_units).all()
+    third = draw_population(scenario, 400.0, RandomStreams(6))
     assert len(third) != len(one) or (third.arrival_us != one.arrival_us).any()
     at_s = one.arrival_us[one.established_count :] / 1e6
     rush = ((at_s >= 15) & (at_s < 27)).sum() / 12
@@ -234,22 +242,27 @@
 
 
 def test_a_client_retries_twice_then_waits_longer() -> None:
-    day = scenario("calm")
-    client = Client(0, draw_population(day, 400.0, RandomStreams(1)), day.clients)
+    scenario = load_by_name("calm")
+    client = Client(0, draw_population(scenario, 400.0, RandomStreams(1)), scenario.clients)
     waits = [client.delay_after_failure_us(0) for _ in range(7)]
-    assert waits[0] < waits[2] and max(waits[0], waits[1]) <= 400_000 and waits[2] >= SECOND and waits[5] >= 2 * SECOND
+    assert waits[0] < waits[2]
+    assert max(waits[0], waits[1]) <= 400_000
+    assert waits[2] >= SECOND
+    assert waits[5] >= 2 * SECOND
     assert len({client.next_request_id() for _ in range(100)}) == 100
     client.delay_after_disconnect_us()
-    assert client.is_returning and not client.is_retrying
-
-
-def test_service_is_what_was_earned_of_what_was_asked() -> None:
-    ledger = ServiceAccounting(0, 20, (2.0, 1.0))
-    ledger.record_demand(np.array([0, 1]), np.array([0, 5 * SECOND]), np.array([20 * SECOND, 100 * SECOND]))
-    assert ledger.demanded_weight.sum() == pytest.approx(2 * 20 + 15)
-    ledger.record_service(0, 10 * SECOND, 0, 1, 1.0)
-    shares = ledger.service_shares()
-    assert shares["whole"] == pytest.approx(20 / 55) and shares["worst_window"] == 0.0 == shares["worst_class"]
+    assert client.is_returning
+    assert not client.is_retrying
+
+
+def test_service_is_what_was_earned_of_what_was_demanded() -> None:
+    accounting = ServiceAccounting(0, 20, (2.0, 1.0))
+    accounting.record_demand(np.array([0, 1]), np.array([0, 5 * SECOND]), np.array([20 * SECOND, 100 * SECOND]))
+    assert accounting.demanded_weight.sum() == pytest.approx(2 * 20 + 15)
+    accounting.record_service(0, 10 * SECOND, 0, 1, 1.0)
+    shares = accounting.service_shares()
+    assert shares["whole"] == pytest.approx(20 / 55)
+    assert shares["worst_window"] == 0.0 == shares["worst_class"]
     assert compute_goal(shares, {}) == pytest.approx(0.55 * 20 / 55)
     assert compute_goal(shares, {"moves": 1.0}) == pytest.approx(compute_goal(shares, {}) - 0.01)
 
@@ -260,7 +273,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected"),
     [
         (PLAIN + "lenght_s = 3", "lenght_s: unknown field; nearest known name: length_s"),
         (PLAIN + "[clients]\nload = -1", "clients.load: "),
@@ -277,12 +290,14 @@
         ("x" * 10_000_000, "the file holds 10000000 bytes"),
     ],
 )
-def test_a_bad_scenario_is_one_line_that_names_the_field(tmp_path: Path, text: str, told: str) -> None:
+def test_a_bad_scenario_is_one_line_that_names_the_field(tmp_path: Path, text: str, expected: str) -> None:
     file = tmp_path / "bad.toml"
     file.write_text(text)
     with pytest.raises(ScenarioError) as error:
         load_scenario(file)
-    assert str(error.value).startswith(f"{file}: ") and told in str(error.value) and "\n" not in str(error.value)
+    assert str(error.value).startswith(f"{file}: ")
+    assert expected in str(error.value)
+    assert "\n" not in str(error.value)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -296,22 +311,23 @@
 
 
 def test_fields_are_set_by_their_path() -> None:
-    day = scenario("shrink", "faults.0.to=0.5", "clients.load=0.2", "about=free text")
-    assert (day.faults[0].to, day.clients.load, day.about) == (0.5, 0.2, "free text")  # type: ignore[union-attr]
-    assert day.digest != scenario("shrink").digest == scenario("shrink").digest
+    scenario = load_by_name("shrink", "faults.0.to=0.5", "clients.load=0.2", "about=free text")
+    assert (scenario.faults[0].to, scenario.clients.load, scenario.about) == (0.5, 0.2, "free text")  # type: ignore[union-attr]
+    assert scenario.digest != load_by_name("shrink").digest == load_by_name("shrink").digest
     for change in ("nothing", "faults.7.at_s=1", "name.x=1"):
         with pytest.raises(ScenarioError, match="--set"):
-            scenario("shrink", change)
+            load_by_name("shrink", change)
 
 
-# Whole days.
+# Complete runs.
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_every_scenario_keeps_the_rules(name: str) -> None:
-    driver, checker, events = play(scenario(name))
+    driver, checker, events = play(load_by_name(name))
     assert [str(each) for each in checker.violations] == []
-    assert checker.counts["answer"] > 20 and driver.counts["up"] > 20
+    assert checker.counts["answer"] > 20
+    assert driver.counts["up"] > 20
     assert any(event.kind is EventKind.FAULT_CHANGED for event in events) or name == "calm"
 
 
@@ -319,28 +335,30 @@
 
 
 @pytest.mark.parametrize(("name", "count"), FLEETS)
-def test_all_proxies_together_keep_a_cold_servers_budget_but_for_chance(
+def test_all_proxies_together_keep_the_slow_start_budget_but_for_chance(
     name: str, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """By the operators' words: beyond the budget N only 2 * root of N + 2 is chance. In fleet-herd 28 proxies die."""
     monkeypatch.setattr(
         "stoatgw.emulator.world.warm_up.MIN_WARM_UP_EXCESS_UNITS", 1e9
     )  # none falls: all that is sent is seen
-    _, checker, _ = play(scenario(name, f"proxies.count={count}"), chance=lambda budget: 2 * budget**0.5 + 2)
+    _, checker, _ = play(load_by_name(name, f"proxies.count={count}"), chance=lambda budget: 2 * budget**0.5 + 2)
     assert [str(each) for each in checker.violations if "units within the window" in each.reason] == []
     assert checker.counts["ran"] > 500
 
 
 @pytest.mark.parametrize("policy", [random_policy, omniscient_policy])
-def test_the_measures_keep_the_rules_too(policy: PolicyBuilder) -> None:
+def test_the_policies_of_comparison_keep_the_rules(policy: PolicyBuilder) -> None:
     for name in ("grow", "crashes"):
-        assert [str(each) for each in play(scenario(name), policy=policy)[1].violations] == []
+        assert [str(each) for each in play(load_by_name(name), policy=policy)[1].violations] == []
 
 
-def test_the_top_stands_over_the_floor() -> None:
-    day = scenario("shrink")
+def test_the_omniscient_policy_serves_more_than_the_random_one() -> None:
+    scenario = load_by_name("shrink")
     whole = {
-        policy: np.mean([play(day, seed, policy)[0].world.accounting.service_shares()["whole"] for seed in range(4)])
+        policy: np.mean(
+            [play(scenario, seed, policy)[0].world.accounting.service_shares()["whole"] for seed in range(4)]
+        )
         for policy in (random_policy, omniscient_policy)
     }
     assert whole[omniscient_policy] > whole[random_policy] + 0.1
@@ -370,11 +388,11 @@
 
 @pytest.mark.parametrize("shuffle", range(4))
 def test_any_order_within_a_microsecond_keeps_the_rules(shuffle: int) -> None:
-    _, checker, _ = play(scenario("restarts"), shuffle=shuffle)
+    _, checker, _ = play(load_by_name("restarts"), shuffle=shuffle)
     assert checker.violations == []
 
 
-def test_a_client_that_leaves_in_the_turn_of_its_up_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_disconnects_in_the_turn_of_its_up_is_forgotten(monkeypatch: pytest.MonkeyPatch) -> None:
     """The client's end and UP reach the owner in one turn; neither its record nor a second answer is left."""
     put, left = Controller.post, list[str]()
 
@@ -388,9 +406,10 @@
         put(self, message)
 
     monkeypatch.setattr(Controller, "post", leave_with_up)
-    driver, checker, _ = play(scenario("calm"))
-    assert len(left) == 20 and checker.violations == []
-    assert not any(name in machine.connections for name in left for machine in driver.world.servers.values())
+    driver, checker, _ = play(load_by_name("calm"))
+    assert len(left) == 20
+    assert checker.violations == []
+    assert not any(name in server.connections for name in left for server in driver.world.servers.values())
 
 
 def test_a_server_that_dies_between_the_first_and_last_byte_costs_one_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -403,14 +422,15 @@
             self._realm.kill_server(server)
 
     monkeypatch.setattr(Session, "_connected", die)
-    driver, checker, events = play(scenario("calm"))
-    assert len(killed) == 2 and checker.violations == []
+    driver, checker, events = play(load_by_name("calm"))
+    assert len(killed) == 2
+    assert checker.violations == []
     assert driver.counts["attempts"] > driver.counts["up"]  # the attempts that died, made good elsewhere
     assert not [event for event in events if event.kind is EventKind.REQUEST_ANSWERED and event.detail == "err"]
 
 
 def test_a_frozen_proxys_clients_give_up_and_are_not_answered_twice() -> None:
-    day = parse_scenario(
+    scenario = parse_scenario(
         {
             "version": 1,
             "name": "x",
@@ -421,21 +441,24 @@
         },
         "test",
     )
-    driver, checker, events = play(day)
-    assert checker.violations == [] and driver.counts["timed_out"] > 0
+    driver, checker, events = play(scenario)
+    assert checker.violations == []
+    assert driver.counts["timed_out"] > 0
     gone = {event.request_id for event in events if event.kind is EventKind.CLIENT_DISCONNECTED}
     # Their lines lay in the proxy's sockets: it took them after the thaw, and no server ran one for nobody.
     late = {
         event.request_id for event in events if event.kind is EventKind.REQUEST_RECEIVED and event.time_us >= 9_000_000
     } & gone
-    assert late and not late & {event.request_id for event in events if event.kind is EventKind.ATTEMPT_SENT}
+    assert late
+    assert not late & {event.request_id for event in events if event.kind is EventKind.ATTEMPT_SENT}
 
 
 def test_a_killed_proxys_clients_come_back_through_its_peers() -> None:
-    day = scenario("calm", "faults=[{kind='kill_proxy', at_s=20, proxy=0, back_s=30}]")
-    driver, checker, events = play(day)
+    scenario = load_by_name("calm", "faults=[{kind='kill_proxy', at_s=20, proxy=0, back_s=30}]")
+    driver, checker, events = play(scenario)
     lost = sum(event.kind is EventKind.SESSION_ENDED and event.detail == "proxy killed" for event in events)
-    assert lost > 10 and checker.violations == []
+    assert lost > 10
+    assert checker.violations == []
     again = [
         e for e in events if e.kind is EventKind.SESSION_ESTABLISHED and e.proxy != "n0" and 20e6 < e.time_us < 30e6
     ]
@@ -445,7 +468,7 @@
 
 def test_clients_that_leave_do_not_eject_their_server() -> None:
     """Found by the emulator: each such client took its server out for 4 s, and returning clients were refused."""
-    refused = [play(scenario("return"), seed)[0].counts["refused"] for seed in range(4)]
+    refused = [play(load_by_name("return"), seed)[0].counts["refused"] for seed in range(4)]
     assert sum(refused) < 60  # it was some hundreds in each
 
 
