--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -238,14 +238,14 @@
     """
     affinity = os.sched_getaffinity(0)
 
-    async def run(folder: Path) -> tuple[LoopbackDriver, str]:
+    async def _run(folder: Path) -> tuple[LoopbackDriver, str]:
         driver = LoopbackDriver(scenario, seed, sink, folder, base_network)
         driver.observe_start = observe_start
         return driver, await driver.run()
 
     with tempfile.TemporaryDirectory(prefix="stoatgw-") as folder_name:
         try:
-            return uvloop.run(run(Path(folder_name)))
+            return uvloop.run(_run(Path(folder_name)))
         finally:
             os.sched_setaffinity(0, affinity)
             gc.unfreeze()
--- a/stoatgw/emulator/loopback/listeners.py
+++ b/stoatgw/emulator/loopback/listeners.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 from collections.abc import Callable, Coroutine
+from functools import partial
 from typing import Any
 
 from stoatgw.emulator.loopback import wire
@@ -40,7 +41,7 @@
         """New connections are refused from now on."""
         for sock, task in self._listeners.values():
             task.cancel()
-            task.add_done_callback(lambda _, sock=sock: sock.close())  # type: ignore[misc]  # mypy: default of a lambda
+            task.add_done_callback(partial(_close_socket, sock))
         self._listeners.clear()
 
     def set_muted(self, proxy: int, is_muted: bool) -> None:
@@ -93,3 +94,7 @@
             task = loop.create_task(self._serve(wire.LineSocket(accepted), proxy))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
+
+
+def _close_socket(sock: socket.socket, _: asyncio.Task[None]) -> None:
+    sock.close()
--- a/stoatgw/emulator/virtual/event_loop.py
+++ b/stoatgw/emulator/virtual/event_loop.py
@@ -12,7 +12,7 @@
 import heapq
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Any, TypeVarTuple, Unpack
 
 import numpy as np
 
@@ -22,6 +22,8 @@
 
 MAX_TIE = 1 << 30
 
+_Ts = TypeVarTuple("_Ts")
+
 
 class VirtualScheduler:
     """The virtual clock and all that waits for it."""
@@ -135,24 +137,32 @@
         if not handle.cancelled():
             self.deliver(handle._run)
 
-    # The interface of asyncio. Its stubs use types of their own for the callbacks, hence the ignored overrides.
+    # The interface of asyncio.
 
     def time(self) -> float:
         """The current time in seconds."""
         return self._scheduler.now_us() / 1e6
 
-    def call_soon(  # type: ignore[override]
-        self, callback: Callable[..., Any], *args: Any, context: Any = None
+    def call_soon(
+        self, callback: Callable[[Unpack[_Ts]], object], *args: *_Ts, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
         """See asyncio."""
         handle = asyncio.Handle(callback, args, self, context or contextvars.copy_context())
         self._scheduler.call_soon(lambda: self._run_handle(handle))
         return handle
 
-    call_soon_threadsafe = call_soon  # type: ignore[assignment]
-
-    def call_later(  # type: ignore[override]
-        self, delay: float, callback: Callable[..., Any], *args: Any, context: Any = None
+    def call_soon_threadsafe(
+        self, callback: Callable[[Unpack[_Ts]], object], *args: *_Ts, context: contextvars.Context | None = None
+    ) -> asyncio.Handle:
+        """See asyncio; there are no threads in virtual time."""
+        return self.call_soon(callback, *args, context=context)
+
+    def call_later(
+        self,
+        delay: float,
+        callback: Callable[[Unpack[_Ts]], object],
+        *args: *_Ts,
+        context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
         """See asyncio; the delay is rounded to microseconds."""
         due_us = self._scheduler.now_us() + max(0, round(delay * 1e6))
@@ -160,8 +170,12 @@
         self._scheduler.call_at(due_us, lambda: self._run_handle(handle))
         return handle
 
-    def call_at(  # type: ignore[override]
-        self, when: float, callback: Callable[..., Any], *args: Any, context: Any = None
+    def call_at(
+        self,
+        when: float,
+        callback: Callable[[Unpack[_Ts]], object],
+        *args: *_Ts,
+        context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
         """See asyncio."""
         return self.call_later(when - self.time(), callback, *args, context=context)
