--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -1,16 +1,15 @@
-"""What all client sessions of a proxy share."""
+"""What the client sessions of a proxy share."""
 
 from __future__ import annotations
 
 import re
-import socket
-from collections import deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
 from stoatgw.backends.backend import BackendRegistry
 from stoatgw.backends.latency import MessageLatencyTracker
 from stoatgw.clients.descriptor_limiter import DescriptorLimiter
+from stoatgw.clients.recent_ids import RecentIds
 from stoatgw.clock import Clock
 from stoatgw.config.deployment import Deployment
 from stoatgw.controller.controller import Controller
@@ -18,40 +17,21 @@
 from stoatgw.controller.messages import RequestState
 from stoatgw.decisions.interface import SessionMetricKind
 from stoatgw.line_protocol.grammar import field_pattern
-from stoatgw.sockets import tcp
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 from stoatgw.telemetry.metrics import RequestMetrics
 
-MAX_ENDED_IDS = 16_384
-REJECTED_LINGER_S = 0.25  # one that is turned away has so long to end its side
-
-
-class RecentIds:
-    """The ids that are open, and those that ended lately: an id is new for every connection, so one that
-    comes again is not forwarded."""
-
-    def __init__(self, most: int = MAX_ENDED_IDS) -> None:
-        self._most, self._open, self._order, self._ended = most, set[str](), deque[str](), set[str]()
-
-    def register(self, name: str) -> bool:
-        """Whether it never came before; it is open from now on, until `done`."""
-        if name in self._open or name in self._ended:
-            return False
-        self._open.add(name)
-        return True
-
-    def mark_ended(self, name: str) -> None:
-        self._open.discard(name)
-        self._ended.add(name)
-        self._order.append(name)
-        if len(self._order) > self._most:
-            self._ended.discard(self._order.popleft())
-
 
 @dataclass(slots=True, eq=False)
 class EstablishedSession:
-    """A connection that is up, as the watch over message times sees it."""
+    """An established session, as the session monitor sees it.
+
+    Attributes:
+        state: Its request.
+        server: The server that it is connected to.
+        latency: The times of its messages.
+        abandon_server: Migrates the session, as its server is taken to be unresponsive.
+    """
 
     state: RequestState
     server: str
@@ -61,6 +41,27 @@
 
 @dataclass(slots=True, eq=False)
 class ProxyContext:
+    """Everything that client sessions use but do not own. All of it lives in the one event loop.
+
+    Attributes:
+        deployment: The platform's settings, read at the start.
+        controller: Owns the balancer and the state of all requests; sessions only post messages to it.
+        backends: The known servers, kept up to date by discovery and suspensions; sessions only read it.
+        clock: The time.
+        load_report_row: Turns a server's load report into the columns that the settings name.
+        counters: Counted by whoever sees the event.
+        log: Written by whoever sees the event.
+        descriptor_limiter: Owned by this package; hot restart reads and writes what processes tell one another.
+        request_ids: Owned by this package: request readers register ids, sessions mark them as ended.
+        established_sessions: By request id. Owned by this package: an attempt adds its session and removes it again;
+            the session monitor, maintenance and management only read it.
+        lifecycle: Changed by the service on signals, and by management and maintenance; sessions only read it.
+        class_indexes: The settings' classes by name.
+        tenant_indexes: The settings' tenants by name.
+        metrics: What operators read. Counted by sessions, rendered by management.
+        request_field_pattern: How a field of a client's first line reads.
+    """
+
     deployment: Deployment
     controller: Controller
     backends: BackendRegistry
@@ -75,7 +76,7 @@
     class_indexes: dict[str, int] = field(default_factory=dict)
     tenant_indexes: dict[str, int] = field(default_factory=dict)
     metrics: RequestMetrics = field(init=False)
-    request_field_pattern: re.Pattern[bytes] = field(init=False)  # of a client's first line
+    request_field_pattern: re.Pattern[bytes] = field(init=False)
 
     def __post_init__(self) -> None:
         self.class_indexes = {profile.name: index for index, profile in enumerate(self.deployment.settings.profiles)}
@@ -83,36 +84,21 @@
         self.metrics = RequestMetrics(self.class_indexes)
         self.request_field_pattern = field_pattern([*self.class_indexes, *self.tenant_indexes])
 
-    async def reject_connection(self, sock: socket.socket, line: bytes) -> None:
-        """A last line and the end, for a connection that there is no room to serve.
-
-        A request may cross the line on its way: read and thrown away, it does not turn the end into a reset.
-        """
-        if not self.descriptor_limiter.acquire_linger():
-            tcp.send_and_close(sock, line)
-            return
-        try:
-            await tcp.close_gracefully(sock, line, REJECTED_LINGER_S)
-        finally:
-            self.descriptor_limiter.release_linger()
-
     @property
     def is_ready(self) -> bool:
-        """Whether clients are let in: not while they are sent away, and not before the first list."""
+        """Whether clients are accepted: not while draining, and not before the first endpoint list."""
         return self.backends.has_endpoints and self.lifecycle.accepts_clients
 
     @property
     def load_line_kind(self) -> SessionMetricKind:
-        """What a backend's LOAD line tells, by the settings alone: see docs/status.md."""
-        deployment = self.deployment
-        return (
-            SessionMetricKind.DELAY
-            if deployment.reports_message_delay and not deployment.reports_session_load
-            else SessionMetricKind.LOAD
-        )
+        """What a LOAD line of a server reports, by the settings alone: see docs/status.md."""
+        if self.deployment.reports_message_delay and not self.deployment.reports_session_load:
+            return SessionMetricKind.DELAY
+        return SessionMetricKind.LOAD
 
     def sessions_by_server(self) -> Iterator[tuple[str, list[EstablishedSession]]]:
+        """The established sessions of each server, in the order in which the first of each was established."""
         servers: dict[str, list[EstablishedSession]] = {}
-        for standing in self.established_sessions.values():
-            servers.setdefault(standing.server, []).append(standing)
+        for session in self.established_sessions.values():
+            servers.setdefault(session.server, []).append(session)
         yield from servers.items()
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -8,6 +8,7 @@
 
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.session import ClientSession
+from stoatgw.clients.session_end import reject_connection
 from stoatgw.config.deployment import Address
 from stoatgw.line_protocol.grammar import encode_busy
 from stoatgw.sockets import tcp
@@ -86,7 +87,7 @@
             connection = ClientSession(sock, context).run()
         else:
             context.counters.add("connections_rejected")
-            connection = context.reject_connection(sock, encode_busy(0))
+            connection = reject_connection(context, sock, encode_busy(0))
         task = asyncio.get_running_loop().create_task(connection)
         self._sessions.add(task)
         task.add_done_callback(self._sessions.discard)
--- /dev/null
+++ b/stoatgw/clients/request_handler.py
@@ -0,0 +1,115 @@
+"""Serves one accepted request: the session's tasks, and what the controller asks of it."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+
+from stoatgw.clients.attempt_runner import AttemptRunner, cancel_and_wait
+from stoatgw.clients.context import ProxyContext
+from stoatgw.clients.relay import Relay
+from stoatgw.clients.served_request import ServedRequest
+from stoatgw.clients.session_end import SessionCloser
+from stoatgw.clients.session_restore import SessionRestorer
+from stoatgw.clients.session_state import EndReason, SessionEnd
+from stoatgw.controller.messages import ClientDisconnected, RequestReceived, RequestState
+from stoatgw.decisions.interface import Request
+from stoatgw.line_protocol.grammar import SessionRequest, encode_busy, encode_error
+from stoatgw.telemetry.metrics import RequestOutcome
+
+
+class SessionRequestHandler:
+    """The `RequestHandler` of a client on a socket.
+
+    `serve` runs in the task of the client's connection; the controller's task calls the others.
+    """
+
+    def __init__(
+        self, sock: socket.socket, context: ProxyContext, request: SessionRequest, closer: SessionCloser
+    ) -> None:
+        self._context = context
+        self._request = request
+        self._closer = closer
+        self._request_state = self._create_request_state()
+        self._relay = Relay(sock, context, closer, request.class_name)
+        self._served = ServedRequest(context, request, self._request_state, closer, self._relay)
+        self._attempts = AttemptRunner(self._served)
+
+    def _create_request_state(self) -> RequestState:
+        context = self._context
+        request = self._request
+        now_us = context.clock.now_us()
+        timeout_us = request.timeout_ms * 1000
+        return RequestState(
+            Request(
+                request_id=request.request_id,
+                request_class=context.class_indexes[request.class_name],
+                time_left_us=timeout_us,
+                # One that the settings do not name has no quota: it may not use up that of another.
+                tenant=context.tenant_indexes.get(request.tenant, len(context.tenant_indexes)),
+                idempotency_key=request.idempotency_key,
+                group=request.group if context.deployment.settings.groups else None,
+                hint_us=request.load_hint,
+                hint_valid=request.load_hint is not None,
+                is_client_retry=request.is_client_retry,
+                is_returning=request.is_returning,
+            ),
+            now_us + timeout_us,
+            self,
+        )
+
+    # The session's life.
+
+    async def serve(self) -> SessionEnd:
+        """Serves the request until the session ends; then no task of it is left, but both connections are open."""
+        reader = asyncio.get_running_loop().create_task(self._relay.read_client())
+        self._context.metrics.open_requests += 1
+        self._start()
+        try:
+            return await self._closer.wait()
+        finally:
+            self._context.metrics.open_requests -= 1
+            # A socket may be closed only once no task waits on it.
+            await cancel_and_wait(reader)
+            if self._closer.state.must_report_disconnect():
+                self._context.controller.post(ClientDisconnected(self._request_state))
+            await self._attempts.stop()
+
+    def _start(self) -> None:
+        if self._request.restore_at is not None:
+            self._context.counters.add("requests_restored")
+            self._attempts.run_in_place(SessionRestorer(self._served, self._request.restore_at).run())
+        else:
+            self._context.counters.add("requests")
+            self._context.controller.post(RequestReceived(self._request_state))
+
+    def record_outcome(self, outcome: RequestOutcome) -> None:
+        """Counts the request's outcome, unless one was counted."""
+        self._relay.record_outcome(outcome)
+
+    # What the controller asks for: see `RequestHandler`.
+
+    def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
+        """Starts an attempt at a server."""
+        self._attempts.start(number, server, deadline_us)
+
+    def cancel_attempt(self, number: int) -> None:
+        """Cancels the attempt in progress."""
+        self._attempts.cancel()
+
+    def reject(self, retry_after_us: int) -> None:
+        """Answers BUSY."""
+        self._answer(RequestOutcome.OVERLOAD, encode_busy(retry_after_us))
+
+    def fail(self) -> None:
+        """Answers ERR."""
+        self._answer(RequestOutcome.ERROR, encode_error("failed"))
+
+    def _answer(self, outcome: RequestOutcome, line: bytes) -> None:
+        if self._closer.state.can_answer():
+            self.record_outcome(outcome)
+            self._closer.finish(SessionEnd(EndReason.ANSWERED, line))
+
+    def migrate(self) -> None:
+        """Sends the client away, between two lines."""
+        self._relay.migrate()
--- /dev/null
+++ b/stoatgw/clients/session_end.py
@@ -0,0 +1,86 @@
+"""Closes client connections: rejected ones, and those of sessions together with their servers'."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Awaitable
+
+from stoatgw.backends.attempt import Attempt
+from stoatgw.clients.context import ProxyContext
+from stoatgw.clients.session_state import EndReason, SessionEnd, SessionState
+from stoatgw.controller.messages import AttemptStage
+from stoatgw.sockets import tcp
+
+LINGER_S = 1.0  # how long a peer may take to close its side after the proxy has closed its own
+ANSWERED_LINGER_S = 0.25  # the same after BUSY or ERR, which nothing on its way can follow
+REJECTED_LINGER_S = 0.25  # the same for a connection that is rejected before its request is accepted
+
+# A client that left, or was sent elsewhere, did so in an orderly way: its last lines shall reach the server.
+ORDERLY_REASONS = (EndReason.CLIENT_DISCONNECTED, EndReason.MIGRATED)
+
+
+async def reject_connection(context: ProxyContext, sock: socket.socket, last_line: bytes) -> None:
+    """Sends a last line to a connection without an accepted request, and closes it.
+
+    A request may cross the line on its way: read and discarded, it does not turn the close into a reset.
+    """
+    if not context.descriptor_limiter.acquire_linger():
+        tcp.send_and_close(sock, last_line)
+        return
+    try:
+        await tcp.close_gracefully(sock, last_line, REJECTED_LINGER_S)
+    finally:
+        context.descriptor_limiter.release_linger()
+
+
+class SessionCloser:
+    """Ends one session: the first end wins, and both its connections are closed as that end demands.
+
+    Attributes:
+        state: What has happened to the session so far; only `finish` ends it.
+    """
+
+    def __init__(self, sock: socket.socket) -> None:
+        self._sock = sock
+        self.state = SessionState()
+        self._ended: asyncio.Future[SessionEnd] = asyncio.get_running_loop().create_future()
+        self._half_closed_attempt: Attempt | None = None  # was established, and the proxy's side of it is shut down
+
+    def finish(self, end: SessionEnd) -> None:
+        """Ends the session, unless it has ended before."""
+        if self.state.finish(end):
+            self._ended.set_result(end)
+
+    def wait(self) -> Awaitable[SessionEnd]:
+        """Waits for the session's end; a cancelled wait does not end it."""
+        return asyncio.shield(self._ended)
+
+    def close_attempt(self, attempt: Attempt) -> None:
+        """Closes an attempt's connection at once, or only its sending side if the rest is left to `close_both`."""
+        end = self.state.end
+        was_reset = end is not None and end.was_reset
+        is_orderly = end is not None and end.reason in ORDERLY_REASONS and not was_reset
+        if is_orderly and attempt.stage is AttemptStage.ESTABLISHED:
+            # Closed over unread bytes, it would be reset, and the client's last lines might be lost with that.
+            attempt.half_close()
+            self._half_closed_attempt = attempt
+        else:
+            attempt.close(reset=was_reset)
+
+    async def close_both(self, end: SessionEnd) -> None:
+        """Closes the client's connection, and that of a half-closed attempt beside it."""
+        closing: list[Awaitable[None]] = []
+        if end.was_reset or end.reason is EndReason.CLIENT_DISCONNECTED:  # nobody is there to read a last line
+            tcp.close(self._sock, reset=end.was_reset)
+        else:
+            linger_s = ANSWERED_LINGER_S if end.is_answer else LINGER_S
+            closing.append(tcp.close_gracefully(self._sock, end.last_line, linger_s))
+        if self._half_closed_attempt is not None:
+            closing.append(self._half_closed_attempt.close_gracefully(LINGER_S))
+        await asyncio.gather(*closing)
+
+    def abort_attempt(self) -> None:
+        """Closes a half-closed attempt at once; does nothing if it is closed already."""
+        if self._half_closed_attempt is not None:
+            self._half_closed_attempt.close()
--- /dev/null
+++ b/stoatgw/clients/session_restore.py
@@ -0,0 +1,83 @@
+"""Connects a session of an earlier process to its server again."""
+
+from __future__ import annotations
+
+import asyncio
+
+from stoatgw.backends.attempt import Attempt
+from stoatgw.backends.backend import Backend
+from stoatgw.clients.served_request import ServedRequest
+from stoatgw.controller.messages import AttemptEnd, AttemptStage, SessionRestored
+from stoatgw.decisions.interface import AttemptStatus
+
+RESTORE_TIMEOUT_S = 39.0
+RESTORE_DIAL_TIMEOUT_US = 2_000_000
+RESTORE_RETRY_INTERVAL_S = 0.1
+RETRIED_STATUSES = (AttemptStatus.DIAL_FAILED, AttemptStatus.SHED)  # after any other it may have run: not again
+
+
+class SessionRestorer:
+    """Restores one session at the server it had, also where the endpoint list or the server is late."""
+
+    def __init__(self, served: ServedRequest, server: str) -> None:
+        self._served = served
+        self._server = server
+        self._attempt: Attempt | None = None
+        self._is_established = False
+        self._end: AttemptEnd | None = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING, "not listed")
+
+    async def run(self) -> None:
+        """Connects, relays the session until it ends, and reports what came of it."""
+        served = self._served
+        try:
+            attempt = await self._establish()
+            if attempt is not None:
+                self._end = await served.relay.run(served.request_state, attempt, self._server)
+        except asyncio.CancelledError:
+            self._end = served.closer.state.interrupted_attempt(AttemptStage.ESTABLISHED)
+            raise
+        except Exception as error:
+            served.record_crash(error)
+        finally:
+            self._finish()
+
+    async def _establish(self) -> Attempt | None:
+        """Makes attempts until one is established; None if there is no use in a further one, or no time."""
+        context = self._served.context
+        deadline_us = context.clock.now_us() + int(RESTORE_TIMEOUT_S * 1e6)
+        while context.clock.now_us() < deadline_us:
+            backend = context.backends.get(self._server)
+            if backend is not None:
+                attempt = await self._connect(backend, deadline_us)
+                if self._end is None:
+                    return attempt
+                if self._end.status not in RETRIED_STATUSES:
+                    return None
+            await asyncio.sleep(RESTORE_RETRY_INTERVAL_S)
+        return None
+
+    async def _connect(self, backend: Backend, deadline_us: int) -> Attempt:
+        """Makes one attempt, whose end goes to `_end`: None if it is established."""
+        served = self._served
+        attempt = served.create_attempt(backend, RESTORE_DIAL_TIMEOUT_US)
+        self._attempt = attempt
+        self._end = await attempt.open(lambda _: served.request.line + b"\r\n", deadline_us)
+        if self._end is None:
+            self._is_established = True
+            served.context.controller.post(SessionRestored(served.request_state, self._server))
+        else:
+            served.close_attempt(attempt)
+        return attempt
+
+    def _finish(self) -> None:
+        served = self._served
+        served.close_attempt(self._attempt)
+        if self._is_established:
+            end = self._end or AttemptEnd(AttemptStatus.DROPPED, AttemptStage.ESTABLISHED, "fault")
+            served.post_attempt_end(0, end)
+            served.finish_by_server(self._attempt)
+            return
+        reason = self._end.reason if self._end is not None else "fault"
+        served.context.counters.add("sessions_not_restored")
+        served.context.log.event("session_restore_failed", id=served.request.request_id, why=reason)
+        asyncio.get_running_loop().call_soon(served.request_state.handler.fail)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -14,10 +14,11 @@
 from stoatgw.backends.backend import BackendRegistry, ListedEndpoint
 from stoatgw.backends.health_check import HealthChecker, LoadReportSchema
 from stoatgw.backends.latency import MessageLatencyTracker, current_latency_ms
-from stoatgw.clients.context import EstablishedSession, ProxyContext, RecentIds
+from stoatgw.clients.context import EstablishedSession, ProxyContext
 from stoatgw.clients.descriptor_limiter import DescriptorLimiter
 from stoatgw.clients.listener import Listener
-from stoatgw.clients.session import LINE_BOUNDARY_TIMEOUT_S
+from stoatgw.clients.recent_ids import RecentIds
+from stoatgw.clients.relay import LINE_BOUNDARY_TIMEOUT_S
 from stoatgw.clients.session_monitor import MONITOR_INTERVAL_S, SessionMonitor
 from stoatgw.clock import Clock
 from stoatgw.config.deployment import Address, parse_deployment
