--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -111,7 +111,7 @@
 
     def disconnect_client(self, session: Session) -> None:
         """The client closes its side; the proxy notices one latency later."""
-        if not session.answered:
+        if not session.is_answered:
             self.world.log(EventKind.CLIENT_DISCONNECTED, session.proxy.name, session.name)
         notice = partial(session.proxy.loop.deliver, session.client_disconnected)
         self.scheduler.call_at(self.scheduler.now_us() + self.world.client_latency_us, notice)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -78,8 +78,8 @@
     refuse = Session.reject
 
     def late(self: Session, advice_us: int) -> None:
-        at_us = self._kernel.now_us() + 2_500_000
-        self._kernel.call_at(at_us, lambda: refuse(self, advice_us))
+        at_us = self._scheduler.now_us() + 2_500_000
+        self._scheduler.call_at(at_us, lambda: refuse(self, advice_us))
 
     monkeypatch.setattr(Session, "reject", late)
     monkeypatch.setattr("stoatgw.emulator.virtual.driver.VirtualDriver.time_out", lambda self, session: None)
@@ -100,7 +100,7 @@
         machine = self.server
         begin(self, attempt, server, cut_at_us)
         if machine is not None:  # the first goes on beside the second
-            self._realm.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
+            self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
 
     monkeypatch.setattr(AttemptTracker, "perform_send", send_again)
     monkeypatch.setattr(Session, "start_attempt", both)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -400,7 +400,7 @@
         door = message.state.handler if isinstance(message, AttemptEstablished) else None
         if isinstance(door, Session) and len(left) < 20:
             left.append(door.name)
-            door._kernel.call_soon(
+            door._scheduler.call_soon(
                 partial(door.proxy.loop.deliver, door.client_disconnected)
             )  # before the owner's next turn
         put(self, message)
@@ -413,15 +413,15 @@
 
 
 def test_a_server_that_dies_between_the_first_and_last_byte_costs_one_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    sent, killed = Session._connected, list[str]()
+    sent, killed = Session._on_connected, list[str]()
 
     def die(self: Session, server: ServerModel, cut_at_us: int) -> None:
         sent(self, server, cut_at_us)
         if len(killed) < 2 and server.lifecycle is ServerLifecycle.SERVING:
             killed.append(server.properties.name)
-            self._realm.kill_server(server)
+            self._world.kill_server(server)
 
-    monkeypatch.setattr(Session, "_connected", die)
+    monkeypatch.setattr(Session, "_on_connected", die)
     driver, checker, events = play(load_by_name("calm"))
     assert len(killed) == 2
     assert checker.violations == []
