--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -1,14 +1,25 @@
-"""A client's session at a modelled proxy, from its line to its end: the door that the owner acts through.
+"""A client's session at a modelled proxy: what the controller acts through, in virtual time and without sockets.
 
-It goes through the same stages as a session on sockets (connecting, sending, sent, up) and gives the owner the
-same values at the same points; `stoatgw/clients/session.py` and `stoatgw/backends/attempt.py` are its measure.
+It goes through the stages of a session on sockets (connecting, sending, sent, established) and gives the controller the
+same values at the same points. What both do by the same rules is `stoatgw.clients.session_state`: whether an answer may
+be given, whether an attempt may start, how an interrupted attempt ends, and which ends the controller is told of.
+
+What follows `stoatgw.clients` and `stoatgw.backends.attempt` by hand, as the two sides have nothing in common there:
+
+- An attempt: there a task that waits on a socket, here scheduled events that are ignored once the attempt is over. That
+  is why `refuse_establishment` is not asked for here: after the session's end there is no event to ask it.
+- Migration: lines are not modelled, so MOVE never waits for the end of one.
+- The time until an unresponsive server is abandoned: 5 s here and 4 s in `SessionMonitor`, and drawn, not polled.
 """
 
 from __future__ import annotations
 
+from collections.abc import Callable
 from functools import partial
-from typing import TYPE_CHECKING
+from typing import Protocol
 
+from stoatgw.clients.descriptor_limiter import DESCRIPTORS_PER_REQUEST, RESERVED_DESCRIPTORS
+from stoatgw.clients.session_state import EndReason, SessionEnd, SessionState
 from stoatgw.controller.messages import (
     AttemptEnd,
     AttemptEnded,
@@ -19,408 +30,457 @@
     RequestState,
 )
 from stoatgw.decisions.interface import AttemptStatus, Request
+from stoatgw.emulator.virtual.event_loop import VirtualScheduler
+from stoatgw.emulator.virtual.proxy import VirtualProxy
 from stoatgw.emulator.world.client import Client
 from stoatgw.emulator.world.events import EventKind
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
+from stoatgw.emulator.world.world_state import WorldState
+
+DIAL_TIMEOUT_US = 250_000
+UNANSWERED_TIMEOUT_US = 5_000_000  # a session whose server is unresponsive for so long is migrated at the next check
+MONITOR_INTERVAL_US = 250_000
+UNWASTED_STATUSES = (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED)  # the server spent nothing on such an attempt
+
+
+class SessionHost(Protocol):
+    """What a session needs of the run that it is part of."""
 
-if TYPE_CHECKING:
-    from stoatgw.emulator.virtual.driver import VirtualDriver
-    from stoatgw.emulator.virtual.proxy import VirtualProxy
+    world: WorldState
+    scheduler: VirtualScheduler
+    counts: dict[str, int]
 
-DIAL_US = 250_000
-UNANSWERED_US, LOOK_US = 5_000_000, 250_000  # a connection unanswered so long is given up at the next look
-RESERVED_DESCRIPTORS, DESCRIPTORS_PER_REQUEST = 64, 2  # as `stoatgw/clients/descriptor_limiter.py` has them
+    def receive_answer(self, session: Session, kind: str, retry_after_us: int) -> None:
+        """The proxy's answer reaches the client."""
+
+    def receive_disconnect(self, session: Session, reason: str) -> None:
+        """The end of the connection reaches the client."""
+
+    def disconnect_client(self, session: Session) -> None:
+        """The client closes its side."""
 
 
 class Session:
-    def __init__(self, world: VirtualDriver, proxy: VirtualProxy, client: Client, name: str, asked_us: int) -> None:
-        self._host, self._world, self._scheduler = world, world.world, world.scheduler
-        self.proxy, self.client, self.name, self.requested_us = proxy, client, name, asked_us
-        population, index = world.world.population, client.index
-        self.request_class = int(population.request_class[index])
-        profile = proxy.settings.profiles[self.request_class]
-        self.wait_us = profile.deadline_us
-        self.group = int(population.group[index])
+    """One session, from the client's request to its end; a `RequestHandler` and a `HostedSession`.
+
+    Attributes:
+        proxy: The process that serves it.
+        client: Who opened it.
+        name: The request's id.
+        requested_us: When the client sent its request.
+        request_class: The index of its class.
+        wait_us: How long the client waits for an answer.
+        group: The client's group.
+        request_state: The request as the controller knows it.
+        is_client_answered: The client has its answer, or waits no longer.
+        is_answered: The proxy gave its final answer.
+        is_known_to_controller: The controller has the request, and need not have forgotten it.
+        server: Of the attempt in flight, or of the established session.
+    """
+
+    def __init__(self, host: SessionHost, proxy: VirtualProxy, client: Client, name: str, requested_us: int) -> None:
+        population = host.world.population
+        self._host = host
+        self._world = host.world
+        self._scheduler = host.scheduler
+        self.proxy = proxy
+        self.client = client
+        self.name = name
+        self.requested_us = requested_us
+        self.request_class = int(population.request_class[client.index])
+        self.wait_us = proxy.settings.profiles[self.request_class].deadline_us
+        self.group = int(population.group[client.index])
         self.request_state = RequestState(
             Request(
                 request_id=name,
                 request_class=self.request_class,
-                time_left_us=profile.deadline_us,
-                idempotency_key=int(population.idempotency_key[index]),
+                time_left_us=self.wait_us,
+                idempotency_key=int(population.idempotency_key[client.index]),
                 group=self.group,
                 is_returning=client.is_returning,
             ),
-            asked_us + profile.deadline_us,
+            requested_us + self.wait_us,
             self,
         )
-        self.is_client_answered = False  # the client has its answer, or waits no longer
-        self.is_answered = False  # the proxy gave its final answer
-        self.is_known_to_controller = False  # the owner knows the req
-        self.server: ServerModel | None = None  # where an attempt is out, or where it stands
-        self._attempt = -1
+        self.is_client_answered = False
+        self.is_answered = False
+        self.is_known_to_controller = False
+        self.server: ServerModel | None = None
+        self._state = SessionState()
+        self._attempt = -1  # number of the last attempt
         self._stage = AttemptStage.CONNECTING
-        self._link = 0  # tells this attempt's events from an earlier one's
-        self._up = False
-        self._ended = False
-        self._stood_us = 0
-        self._given_up = AttemptStatus.REVOKED
+        self._generation = 0  # what was scheduled in an earlier one is ignored
+        self._established_us = 0
 
     # The client's side.
 
     def receive_request(self) -> None:
-        """The whole line has come at the proxy."""
-        proxy, realm = self.proxy, self._world
-        if DESCRIPTORS_PER_REQUEST * (len(proxy.sessions) + 1) + RESERVED_DESCRIPTORS > realm.scenario.proxies.sockets:
-            self._ended = True
-            self._to_client("busy", 0)
+        """The complete request has arrived at the proxy."""
+        proxy = self.proxy
+        descriptors = DESCRIPTORS_PER_REQUEST * (len(proxy.sessions) + 1) + RESERVED_DESCRIPTORS
+        if descriptors > self._world.scenario.proxies.sockets:
+            self._state.finish(SessionEnd(EndReason.ANSWERED))
+            self._send_answer("busy", 0)
             return
         proxy.sessions[self.name] = self
         self.is_known_to_controller = True
-        now_us = self._scheduler.now_us()
-        # As on sockets: the proxy knows what the line says, and when it read it.
-        self.request_state.deadline_us = now_us + self.wait_us
-        realm.log(
+        # As on sockets: the proxy knows what the request says, and when it read it.
+        self.request_state.deadline_us = self._scheduler.now_us() + self.wait_us
+        self._world.log(
             EventKind.REQUEST_RECEIVED,
             proxy.name,
             self.name,
-            number=self.requested_us + self.wait_us - realm.start_us,
+            number=self.requested_us + self.wait_us - self._world.start_us,
             detail=str(self.client.index),
         )
         proxy.controller.post(RequestReceived(self.request_state))
 
     def client_disconnected(self) -> None:
-        """The client ended its side."""
-        self._finish("left", tell=True)
+        """The client's end of the connection has arrived at the proxy."""
+        self._finish(EndReason.CLIENT_DISCONNECTED)
 
     def close_by_client(self) -> None:
-        """The client has had what it wanted and says so; its server ends the connection."""
-        if not self._up or self.server is None:
+        """The client asks its server to end the session; without one, it disconnects."""
+        if not self._state.is_established or self.server is None:
             self._host.disconnect_client(self)
             return
-        way_us = self._world.client_latency_us + self._way_us(self.server)
-        self._scheduler.call_at(
-            self._scheduler.now_us() + way_us, partial(self.server_ended, "BYE", AttemptStatus.DELIVERED)
-        )
+        latency_us = self._world.client_latency_us + self._draw_latency_us(self.server)
+        self._call_after(latency_us, partial(self.server_ended, "BYE", AttemptStatus.DELIVERED))
 
-    # The owner's side: see Door.
+    # What the controller asks for: see `RequestHandler`.
 
-    def start_attempt(self, attempt: int, server: str, cut_at_us: int) -> None:
-        self._attempt, self._stage = attempt, AttemptStage.CONNECTING
-        if self._ended:
-            self._post_attempt_end(AttemptStatus.REVOKED, "its client has gone")
+    def start_attempt(self, number: int, server_name: str, deadline_us: int) -> None:
+        """Starts an attempt at a server."""
+        self._attempt = number
+        self._stage = AttemptStage.CONNECTING
+        refused = self._state.refuse_attempt()
+        if refused is not None:
+            self._post_attempt_end(refused)
             return
-        self._link += 1
+        self._generation += 1
         self._host.counts["attempts"] += 1
-        machine, now_us = self._world.servers.get(server), self._scheduler.now_us()
-        if machine is None or self.proxy.backends.get(server) is None:
-            self._post_attempt_end(AttemptStatus.DIAL_FAILED, "no such backend")
+        server = self._world.servers.get(server_name)
+        if server is None or self.proxy.backends.get(server_name) is None:
+            self._post_attempt_end(AttemptEnd(AttemptStatus.DIAL_FAILED, self._stage, "no such backend"))
             return
-        self.server = machine
-        dial_us = min(now_us + DIAL_US, cut_at_us)
-        up_us = now_us + 2 * self._way_us(machine)
-        failing = self.proxy.random.next() < self._world.scenario.network.connect_failures
-        if self._world.is_unreachable(self.proxy.zone, machine) or up_us > dial_us:
-            self._later(dial_us, self._no_connect)
-        elif machine.lifecycle is ServerLifecycle.GONE or failing:
-            self._later(up_us, self._no_connect)
-        else:
-            self._later(up_us, partial(self._on_connected, machine, cut_at_us))
+        self.server = server
+        self._connect(server, deadline_us)
 
-    def cancel_attempt(self, attempt: int) -> None:
-        if attempt == self._attempt and not self._up:
-            self._end_attempt(AttemptStatus.REVOKED, "given up")
+    def cancel_attempt(self, number: int) -> None:
+        """Cancels an attempt that is not established."""
+        if number == self._attempt and not self._state.is_established:
+            self._end_attempt(self._state.interrupted_attempt(self._stage))
 
     def reject(self, retry_after_us: int) -> None:
-        self._answer("busy", retry_after_us)
-        self._finish("answered")
+        """Answers BUSY."""
+        if self._state.can_answer():
+            self._answer("busy", retry_after_us)
+            self._finish(EndReason.ANSWERED)
 
     def fail(self) -> None:
-        self._answer("err", 0)
-        self._finish("answered")
+        """Answers ERR."""
+        if self._state.can_answer():
+            self._answer("err", 0)
+            self._finish(EndReason.ANSWERED)
 
     def migrate(self) -> None:
-        if self._ended:
+        """Sends the client away."""
+        if self._state.has_ended:
             return
-        if self._up:
+        if self._state.is_established:
             self._world.log(EventKind.SESSION_MIGRATED, self.proxy.name, self.name)
-            self._client_lost("moved")
-        self._finish("moved")
+            self._send_disconnect("moved")
+        self._finish(EndReason.MIGRATED)
 
     # One attempt.
 
-    def _way_us(self, machine: ServerModel) -> int:
-        base, jitter = self._world.one_way_latency_us(self.proxy.zone, machine), self._world.scenario.network.jitter
-        return max(1, int(base * (1.0 + jitter * (2.0 * self.proxy.random.next() - 1.0))))
-
-    def _later(self, at_us: int, action: partial[None] | object) -> None:
-        """In the proxy's process, unless another attempt or the end came first."""
-        link = self._link
-
-        def run() -> None:
-            if self._link == link and not self._ended:
-                action()  # type: ignore[operator]
-
-        self._scheduler.call_at(at_us, partial(self.proxy.loop.deliver, run))
+    def _connect(self, server: ServerModel, deadline_us: int) -> None:
+        now_us = self._scheduler.now_us()
+        dial_deadline_us = min(now_us + DIAL_TIMEOUT_US, deadline_us)
+        connected_us = now_us + 2 * self._draw_latency_us(server)
+        is_refused = self.proxy.random.next() < self._world.scenario.network.connect_failures
+        if self._world.is_unreachable(self.proxy.zone, server) or connected_us > dial_deadline_us:
+            self._call_in_proxy(dial_deadline_us, self._on_connect_failed)
+        elif server.lifecycle is ServerLifecycle.GONE or is_refused:
+            self._call_in_proxy(connected_us, self._on_connect_failed)
+        else:
+            self._call_in_proxy(connected_us, partial(self._on_connected, server, deadline_us))
 
-    def _no_connect(self) -> None:
-        self._end_attempt(AttemptStatus.DIAL_FAILED, "could not connect")
+    def _on_connect_failed(self) -> None:
+        self._fail_attempt(AttemptStatus.DIAL_FAILED, "could not connect")
 
-    def _on_connected(self, machine: ServerModel, cut_at_us: int) -> None:
-        now_us, backend = self._scheduler.now_us(), self.proxy.backends.get(machine.properties.name)
+    def _on_connected(self, server: ServerModel, deadline_us: int) -> None:
+        now_us = self._scheduler.now_us()
+        backend = self.proxy.backends.get(server.name)
         grace_us = self.proxy.settings.drain_grace_us
-        if backend is None or not backend.accepts_new_sessions(now_us, grace_us) or now_us >= cut_at_us:
-            self._end_attempt(AttemptStatus.DIAL_FAILED, "it left meanwhile, or no time is left")
+        if backend is None or not backend.accepts_new_sessions(now_us, grace_us) or now_us >= deadline_us:
+            self._fail_attempt(AttemptStatus.DIAL_FAILED, "it left meanwhile, or no time is left")
             return
         self._stage = AttemptStage.SENT
-        self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, self._attempt)
-        self._later(cut_at_us, partial(self._end_attempt, AttemptStatus.EXPIRED, "timed out"))
-        way_us = self._way_us(machine)
-        self._scheduler.call_at(
-            now_us + way_us, partial(self._receive_at_server, machine, self._link, self._attempt, cut_at_us)
-        )
-
-    def _receive_at_server(self, machine: ServerModel, link: int, attempt: int, cut_at_us: int) -> None:
-        """The line's last byte has come: from now on it may run, whether its proxy still waits or not."""
-        if self._world.is_unreachable(self.proxy.zone, machine):
+        self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, server.name, self._attempt)
+        self._call_in_proxy(deadline_us, partial(self._fail_attempt, AttemptStatus.EXPIRED, "timed out"))
+        arrive = partial(self._receive_at_server, server, self._generation, self._attempt, deadline_us)
+        self._call_after(self._draw_latency_us(server), arrive)
+
+    def _receive_at_server(self, server: ServerModel, generation: int, attempt: int, deadline_us: int) -> None:
+        """The complete request has arrived: from now on it may run, whether its proxy still waits or not."""
+        if self._world.is_unreachable(self.proxy.zone, server):
             return
-        if machine.lifecycle is ServerLifecycle.GONE:
-            self._answered_by(machine, link, AttemptStatus.DROPPED)
+        if server.lifecycle is ServerLifecycle.GONE:
+            self._receive_refusal(server, generation, AttemptStatus.DROPPED)
             return
-        now_us, name = self._scheduler.now_us(), machine.properties.name
-        units = machine.expected_load_units(self.group)
-        self._world.log(EventKind.ATTEMPT_EXECUTED, self.proxy.name, self.name, name, attempt, f"{units:g}")
-        answer = machine.handle_open(now_us, units, self.group, cut_at_us)
-        if answer.outcome == "reset":
-            self._answered_by(machine, link, AttemptStatus.DROPPED)
+        now_us = self._scheduler.now_us()
+        units = server.expected_load_units(self.group)
+        self._world.log(EventKind.ATTEMPT_EXECUTED, self.proxy.name, self.name, server.name, attempt, f"{units:g}")
+        decision = server.handle_open(now_us, units, self.group, deadline_us)
+        if decision.outcome == "reset":
+            self._receive_refusal(server, generation, AttemptStatus.DROPPED)
             return
-        began_us = machine.started_us
-        self._scheduler.call_at(
-            answer.decided_at_us, partial(self._server_ready, machine, link, answer.outcome, began_us)
-        )
-
-    def _server_ready(self, machine: ServerModel, link: int, how: str, began_us: int) -> None:
-        if (machine.started_us == began_us and how == "up") or machine.setups_in_progress > 0:
-            machine.finish_setup()
-        if (
-            machine.lifecycle is ServerLifecycle.GONE
-            or machine.started_us != began_us
-            or self._link != link
-            or self._ended
-        ):
-            return  # its death was told already; or nobody waits any more
-        if how == "busy" or machine.lifecycle is not ServerLifecycle.SERVING:
-            self._answered_by(machine, link, AttemptStatus.SHED)
+        decide = partial(self._decide_at_server, server, generation, decision.outcome, server.started_us)
+        self._scheduler.call_at(decision.decided_at_us, decide)
+
+    def _decide_at_server(self, server: ServerModel, generation: int, outcome: str, started_us: int) -> None:
+        is_same_process = server.started_us == started_us
+        if (is_same_process and outcome == "up") or server.setups_in_progress > 0:
+            server.finish_setup()
+        if server.lifecycle is ServerLifecycle.GONE or not is_same_process or not self._is_current(generation):
+            return  # its death was reported already; or nobody waits any more
+        if outcome == "busy" or server.lifecycle is not ServerLifecycle.SERVING:
+            self._receive_refusal(server, generation, AttemptStatus.SHED)
             return
-        units, change_us = self.client.next_load()
-        live = not self.proxy.loop.is_frozen
-        held = HeldConnection(
-            self.name,
-            self.request_class,
-            units,
-            self.group,
-            live,
-            partial(self.server_ended, "drop", AttemptStatus.DROPPED),
-        )
-        machine.add_connection(self._scheduler.now_us(), held)
-        self._scheduler.call_at(self._scheduler.now_us() + change_us, partial(self._change, machine))
-        way_us = self._way_us(machine)
-        if not self._world.is_unreachable(self.proxy.zone, machine):
-            self._later(self._scheduler.now_us() + way_us, self._on_established)
-
-    def _change(self, machine: ServerModel) -> None:
-        """The connection's load changes, while it stands there."""
-        now_us = self._scheduler.now_us()
-        if self.name in machine.connections and now_us < self._world.end_us:
-            units, change_us = self.client.next_load()
-            machine.update_load(now_us, self.name, units)
-            self._scheduler.call_at(now_us + change_us, partial(self._change, machine))
+        self._open_at_server(server, is_reachable=not self.proxy.loop.is_frozen)
+        latency_us = self._draw_latency_us(server)
+        if not self._world.is_unreachable(self.proxy.zone, server):
+            self._call_in_proxy(self._scheduler.now_us() + latency_us, self._on_established)
 
-    def _answered_by(self, machine: ServerModel, link: int, status: AttemptStatus) -> None:
-        if self._link == link and not self._ended:
-            at_us = self._scheduler.now_us() + self._way_us(machine)
-            self._later(at_us, partial(self._end_attempt, status, status.value))
+    def _receive_refusal(self, server: ServerModel, generation: int, status: AttemptStatus) -> None:
+        """The server's refusal, or its end, is on its way to the proxy."""
+        if self._is_current(generation):
+            at_us = self._scheduler.now_us() + self._draw_latency_us(server)
+            self._call_in_proxy(at_us, partial(self._fail_attempt, status, status.value))
 
     def _on_established(self) -> None:
-        if self.server is None:
+        server = self.server
+        if server is None:
             return
-        server = self.server.properties.name
-        self._up, self._stage, self._stood_us = True, AttemptStage.ESTABLISHED, self._scheduler.now_us()
-        self._link += 1  # its time limit no longer counts
-        self.proxy.established.setdefault(server, {})[self.name] = self
-        self._world.log(EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, server, self._attempt, "up")
+        self._establish(server)
+        self._generation += 1  # the deadline no longer counts
+        self._world.log(EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, server.name, self._attempt, "up")
         self._answer("up", 0)
-        self._world.log(
-            EventKind.SESSION_ESTABLISHED, self.proxy.name, self.name, server, detail=str(self.client.index)
-        )
+        self._log_established(server)
         self.proxy.controller.post(AttemptEstablished(self.request_state, self._attempt))
-        if self.server.lifecycle is ServerLifecycle.DRAINING:  # it sent all away while this UP was on its way
+        if server.lifecycle is ServerLifecycle.DRAINING:  # it sent MOVE on all sessions while this UP was on its way
             self.server_ended("MOVE", AttemptStatus.REVOKED)
 
-    def start_established(self, machine: ServerModel) -> None:
-        """It stood at that server before the run."""
+    def start_established(self, server: ServerModel) -> None:
+        """The session was established at that server before the run."""
         self.proxy.sessions[self.name] = self
-        self.is_known_to_controller = self.is_answered = self.is_client_answered = self._up = True
-        self._stage, self._attempt, self.server, self._stood_us = (
-            AttemptStage.ESTABLISHED,
-            0,
-            machine,
-            self._scheduler.now_us(),
-        )
-        self.proxy.established.setdefault(machine.properties.name, {})[self.name] = self
-        units, change_us = self.client.next_load()
-        drop = partial(self.server_ended, "drop", AttemptStatus.DROPPED)
-        machine.add_connection(
-            self._scheduler.now_us(), HeldConnection(self.name, self.request_class, units, self.group, True, drop)
-        )
-        self._scheduler.call_at(self._scheduler.now_us() + change_us, partial(self._change, machine))
+        self.is_known_to_controller = True
+        self.is_answered = True
+        self.is_client_answered = True
+        self._attempt = 0
+        self.server = server
+        self._establish(server)
+        self._open_at_server(server, is_reachable=True)
+        self._log_established(server)
+
+    def _establish(self, server: ServerModel) -> None:
+        self._state.establish()
+        self._stage = AttemptStage.ESTABLISHED
+        self._established_us = self._scheduler.now_us()
+        self.proxy.established.setdefault(server.name, {})[self.name] = self
+
+    def _log_established(self, server: ServerModel) -> None:
         self._world.log(
-            EventKind.SESSION_ESTABLISHED,
-            self.proxy.name,
-            self.name,
-            machine.properties.name,
-            detail=str(self.client.index),
+            EventKind.SESSION_ESTABLISHED, self.proxy.name, self.name, server.name, detail=str(self.client.index)
         )
 
-    def _end_attempt(self, status: AttemptStatus, why: str) -> None:
-        """An attempt that is not up is over."""
-        machine, sent = self.server, self._stage is AttemptStage.SENT
-        self._link += 1
+    def _fail_attempt(self, status: AttemptStatus, reason: str) -> None:
+        self._end_attempt(AttemptEnd(status, self._stage, reason))
+
+    def _end_attempt(self, end: AttemptEnd) -> None:
+        """An attempt that is not established is over."""
+        server = self.server
+        self._generation += 1
         self.server = None
-        if machine is not None:
-            if sent:
-                self._world.log(
-                    EventKind.ATTEMPT_ENDED,
-                    self.proxy.name,
-                    self.name,
-                    machine.properties.name,
-                    self._attempt,
-                    status.value,
-                )
-                self._host.counts["wasted"] += status not in (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED)
-            self._let_go(machine)
-        self._post_attempt_end(status, why)
-
-    def _post_attempt_end(self, status: AttemptStatus, why: str) -> None:
-        self.proxy.controller.post(
-            AttemptEnded(self.request_state, self._attempt, AttemptEnd(status, self._stage, why))
-        )
+        if server is not None:
+            if self._stage is AttemptStage.SENT:
+                self._log_attempt_ended(server, end.status.value)
+                if end.status not in UNWASTED_STATUSES:
+                    self._host.counts["wasted"] += 1
+            self._close_to_server(server)
+        self._post_attempt_end(end)
+
+    def _log_attempt_ended(self, server: ServerModel, how: str) -> None:
+        self._world.log(EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, server.name, self._attempt, how)
+
+    def _post_attempt_end(self, end: AttemptEnd) -> None:
+        self.proxy.controller.post(AttemptEnded(self.request_state, self._attempt, end))
+
+    # The server's side.
 
-    def _let_go(self, machine: ServerModel) -> None:
-        """Our side of the server's connection ends; it notices one way later."""
-        at_us = self._scheduler.now_us() + self._way_us(machine)
-        self._scheduler.call_at(at_us, partial(self._released, machine))
+    def _open_at_server(self, server: ServerModel, *, is_reachable: bool) -> None:
+        units, change_us = self.client.next_load()
+        on_dropped = partial(self.server_ended, "drop", AttemptStatus.DROPPED)
+        connection = HeldConnection(self.name, self.request_class, units, self.group, is_reachable, on_dropped)
+        server.add_connection(self._scheduler.now_us(), connection)
+        self._call_after(change_us, partial(self._change_load, server))
 
-    def _released(self, machine: ServerModel) -> None:
-        machine.remove_connection(self._scheduler.now_us(), self.name)
+    def _change_load(self, server: ServerModel) -> None:
+        """The load of the connection changes, as long as the server holds it."""
+        now_us = self._scheduler.now_us()
+        if self.name in server.connections and now_us < self._world.end_us:
+            units, change_us = self.client.next_load()
+            server.update_load(now_us, self.name, units)
+            self._call_after(change_us, partial(self._change_load, server))
 
-    # What ends it.
+    def _close_to_server(self, server: ServerModel) -> None:
+        """The proxy closes its connection to the server, which notices after the network's latency."""
+        self._call_after(self._draw_latency_us(server), partial(self._close_at_server, server))
+
+    def _close_at_server(self, server: ServerModel) -> None:
+        server.remove_connection(self._scheduler.now_us(), self.name)
 
     def server_ended(self, how: str, status: AttemptStatus) -> None:
-        """The server ended the connection, or died: the proxy hears of it one way later."""
-        machine = self.server
-        if machine is None or self._ended:
-            return
-        machine.remove_connection(self._scheduler.now_us(), self.name)
-        if self._world.is_unreachable(self.proxy.zone, machine):
+        """The server closed the connection, or died: the proxy notices after the network's latency."""
+        server = self.server
+        if server is None or self._state.has_ended:
             return
-        at_us = self._scheduler.now_us() + self._way_us(machine)
-        if not self._up:
-            self._later(at_us, partial(self._end_attempt, status, how))
+        server.remove_connection(self._scheduler.now_us(), self.name)
+        if self._world.is_unreachable(self.proxy.zone, server):
             return
-        self._later(at_us, partial(self._backend_ended, how, status))
+        at_us = self._scheduler.now_us() + self._draw_latency_us(server)
+        if self._state.is_established:
+            self._call_in_proxy(at_us, partial(self._on_server_ended, how, status))
+        else:
+            self._call_in_proxy(at_us, partial(self._fail_attempt, status, how))
 
-    def _backend_ended(self, how: str, status: AttemptStatus) -> None:
+    def _on_server_ended(self, how: str, status: AttemptStatus) -> None:
+        self._state.finish(SessionEnd(EndReason.SERVER_ENDED))
         self._world.log(EventKind.SESSION_ENDED, self.proxy.name, self.name, detail=how)
         if how != "BYE":
-            self._client_lost("moved" if how == "MOVE" else "broken")
-        self._close_standing()
-        self._post_attempt_end(status, how)
-        self._leave()
+            self._send_disconnect("moved" if how == "MOVE" else "broken")
+        self._remove_established()
+        self._post_attempt_end(AttemptEnd(status, self._stage, how))
+        self._release()
 
     def lose_server(self) -> None:
-        """Nothing comes from its server any more: given up once a line stays unanswered too long."""
-        machine = self.server
-        if machine is None or not self._up:
+        """Nothing arrives from its server any more: it is abandoned once a line is unanswered for too long."""
+        server = self.server
+        if server is None or not self._state.is_established:
             return
-        machine.set_reachable(self._scheduler.now_us(), self.name, False)
-        every_us = self._world.scenario.clients.line_every_s * 1e6
-        at_us = self._scheduler.now_us() + int(every_us * self.proxy.random.next()) + UNANSWERED_US
-        self._later(at_us + int(LOOK_US * self.proxy.random.next()), partial(self._give_up, machine))
-
-    def _give_up(self, machine: ServerModel) -> None:
-        if self._world.is_unreachable(self.proxy.zone, machine):
-            self._given_up = AttemptStatus.DROPPED
+        server.set_reachable(self._scheduler.now_us(), self.name, False)
+        line_interval_us = self._world.scenario.clients.line_every_s * 1e6
+        until_line_us = int(line_interval_us * self.proxy.random.next())
+        until_check_us = int(MONITOR_INTERVAL_US * self.proxy.random.next())
+        at_us = self._scheduler.now_us() + until_line_us + UNANSWERED_TIMEOUT_US + until_check_us
+        self._call_in_proxy(at_us, partial(self._abandon_server, server))
+
+    def _abandon_server(self, server: ServerModel) -> None:
+        if self._world.is_unreachable(self.proxy.zone, server):
+            self._state.record_unresponsive_server()
             self.migrate()
 
+    # Ends.
+
     def proxy_ended(self, how: str) -> None:
-        """The process is gone: its connections are reset on both sides."""
-        if self._ended:
+        """The process is gone, stopped or killed: its connections are reset on both sides."""
+        # No reason of a session's own end fits, and nobody is left in this process to read it.
+        if not self._state.finish(SessionEnd(EndReason.SERVER_ENDED, was_reset=True)):
             return
-        if self._up and how == "stopped":
+        if self._state.is_established and how == "stopped":
             self._world.log(EventKind.SESSION_BROKEN, self.proxy.name, self.name)
-        elif self._up:
+        elif self._state.is_established:
             self._world.log(EventKind.SESSION_ENDED, self.proxy.name, self.name, detail="proxy killed")
         elif self.server is not None and self._stage is AttemptStage.SENT:
-            self._world.log(
-                EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, self.server.properties.name, self._attempt, how
-            )
-        self._client_lost("broken")
-        self._ended = True
-        self._link += 1
+            self._log_attempt_ended(self.server, how)
+        self._send_disconnect("broken")
+        self._generation += 1
         if self.server is not None:
-            self._count_stood()
-            self._let_go(self.server)
+            self._count_established_time(self.server)
+            self._close_to_server(self.server)
         self.proxy.sessions.pop(self.name, None)
 
-    def _answer(self, kind: str, advice_us: int) -> None:
-        if self._ended:
+    def _finish(self, reason: EndReason) -> None:
+        """Ends the session from the client's side or the controller's; an attempt in flight is given up."""
+        if not self._state.finish(SessionEnd(reason)):
             return
+        if self._state.must_report_disconnect():
+            self.proxy.controller.post(ClientDisconnected(self.request_state))
+        if self._state.is_established:
+            self._close_established(reason)
+        elif self.server is not None:
+            self._end_attempt(self._state.interrupted_attempt(self._stage))
+        self._release()
+
+    def _close_established(self, reason: EndReason) -> None:
+        if reason is EndReason.CLIENT_DISCONNECTED:
+            self._world.log(EventKind.SESSION_ENDED, self.proxy.name, self.name, detail="client left")
+        server = self.server
+        self._remove_established()
+        if server is not None:
+            self._close_to_server(server)
+        self._post_attempt_end(self._state.interrupted_attempt(self._stage))
+
+    def _remove_established(self) -> None:
+        server = self.server
+        self.server = None
+        if server is None:
+            return
+        self._count_established_time(server)
+        sessions = self.proxy.established.get(server.name, {})
+        sessions.pop(self.name, None)
+        if not sessions:
+            self.proxy.established.pop(server.name, None)
+
+    def _count_established_time(self, server: ServerModel) -> None:
+        if not self._state.is_established:
+            return
+        span_us = self._scheduler.now_us() - self._established_us
+        self._host.counts["stood_us"] += span_us
+        if server.properties.zone != self.proxy.zone:
+            self._host.counts["cross_us"] += span_us
+
+    def _release(self) -> None:
+        self.is_known_to_controller = False
+        self._generation += 1
+        self.proxy.sessions.pop(self.name, None)
+
+    # Answers and ends on their way to the client.
+
+    def _answer(self, kind: str, retry_after_us: int) -> None:
         self.is_answered = True
-        self._world.log(EventKind.REQUEST_ANSWERED, self.proxy.name, self.name, number=advice_us, detail=kind)
-        self._to_client(kind, advice_us)
+        self._world.log(EventKind.REQUEST_ANSWERED, self.proxy.name, self.name, number=retry_after_us, detail=kind)
+        self._send_answer(kind, retry_after_us)
 
-    def _to_client(self, kind: str, advice_us: int) -> None:
-        at_us = self._scheduler.now_us() + self._world.client_latency_us
-        self._scheduler.call_at(at_us, partial(self._host.receive_answer, self, kind, advice_us))
+    def _send_answer(self, kind: str, retry_after_us: int) -> None:
+        receive = partial(self._host.receive_answer, self, kind, retry_after_us)
+        self._call_after(self._world.client_latency_us, receive)
 
-    def _client_lost(self, how: str) -> None:
-        at_us = self._scheduler.now_us() + self._world.client_latency_us
-        self._scheduler.call_at(at_us, partial(self._host.receive_disconnect, self, how))
+    def _send_disconnect(self, reason: str) -> None:
+        self._call_after(self._world.client_latency_us, partial(self._host.receive_disconnect, self, reason))
 
-    def _finish(self, how: str, tell: bool = False) -> None:
-        """The session ends from the client's side or the owner's; an attempt that is out is given up."""
-        if self._ended:
-            return
-        if tell:
-            self.proxy.controller.post(ClientDisconnected(self.request_state))
-        if self._up:
-            if how == "left":
-                self._world.log(EventKind.SESSION_ENDED, self.proxy.name, self.name, detail="client left")
-            machine = self.server
-            self._close_standing()
-            if machine is not None:
-                self._let_go(machine)
-            self._post_attempt_end(self._given_up, "given up")
-        elif self.server is not None:
-            self._end_attempt(AttemptStatus.REVOKED, "given up")
-        self._leave()
+    # Time.
 
-    def _close_standing(self) -> None:
-        self._count_stood()
-        if self.server is not None:
-            there = self.proxy.established.get(self.server.properties.name, {})
-            there.pop(self.name, None)
-            if not there:
-                self.proxy.established.pop(self.server.properties.name, None)
-        self.server = None
+    def _draw_latency_us(self, server: ServerModel) -> int:
+        """The network's latency between proxy and server, one way, this time."""
+        base_us = self._world.one_way_latency_us(self.proxy.zone, server)
+        jitter = self._world.scenario.network.jitter
+        return max(1, int(base_us * (1.0 + jitter * (2.0 * self.proxy.random.next() - 1.0))))
 
-    def _count_stood(self) -> None:
-        if self._up and self.server is not None:
-            span_us = self._scheduler.now_us() - self._stood_us
-            self._host.counts["stood_us"] += span_us
-            self._host.counts["cross_us"] += span_us * (self.server.properties.zone != self.proxy.zone)
+    def _is_current(self, generation: int) -> bool:
+        return self._generation == generation and not self._state.has_ended
 
-    def _leave(self) -> None:
-        self._ended, self.is_known_to_controller = True, False
-        self._link += 1
-        self.proxy.sessions.pop(self.name, None)
+    def _call_after(self, delay_us: int, action: Callable[[], None]) -> None:
+        """Schedules what happens outside the proxy's process."""
+        self._scheduler.call_at(self._scheduler.now_us() + delay_us, action)
+
+    def _call_in_proxy(self, at_us: int, action: Callable[[], None]) -> None:
+        """Schedules an action in the proxy's process, unless the attempt or the session is over by then."""
+        generation = self._generation
+
+        def run() -> None:
+            if self._is_current(generation):
+                action()
+
+        self._scheduler.call_at(at_us, partial(self.proxy.loop.deliver, run))
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,6 +7,7 @@
 import pytest
 
 from stoatgw.backends.backend import Backend
+from stoatgw.clients.session_state import EndReason
 from stoatgw.controller.attempts import AttemptTracker
 from stoatgw.controller.messages import RequestState
 from stoatgw.controller.policy import DecisionPolicy, MakePolicy
@@ -57,8 +58,8 @@
 
 
 def test_a_proxy_that_forgets_an_answer_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Session, "reject", lambda self, advice_us: self._finish("answered"))
-    monkeypatch.setattr(Session, "fail", lambda self: self._finish("answered"))
+    monkeypatch.setattr(Session, "reject", lambda self, advice_us: self._finish(EndReason.ANSWERED))
+    monkeypatch.setattr(Session, "fail", lambda self: self._finish(EndReason.ANSWERED))
     monkeypatch.setattr("stoatgw.emulator.virtual.driver.VirtualDriver.time_out", lambda self, session: None)
     assert Rule.SINGLE_ANSWER in rules_broken("shrink")
 
