--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,6 +7,7 @@
 import pytest
 
 from stoatgw.backends.backend import Backend
+from stoatgw.clients.session_state import EndReason
 from stoatgw.controller.attempts import AttemptTracker
 from stoatgw.controller.messages import RequestState
 from stoatgw.controller.policy import DecisionPolicy, MakePolicy
@@ -57,8 +58,8 @@
 
 
 def test_a_proxy_that_forgets_an_answer_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Session, "reject", lambda self, advice_us: self._finish("answered"))
-    monkeypatch.setattr(Session, "fail", lambda self: self._finish("answered"))
+    monkeypatch.setattr(Session, "reject", lambda self, advice_us: self._finish(EndReason.ANSWERED))
+    monkeypatch.setattr(Session, "fail", lambda self: self._finish(EndReason.ANSWERED))
     monkeypatch.setattr("stoatgw.emulator.virtual.driver.VirtualDriver.time_out", lambda self, session: None)
     assert Rule.SINGLE_ANSWER in rules_broken("shrink")
 
@@ -78,8 +79,8 @@
     refuse = Session.reject
 
     def late(self: Session, advice_us: int) -> None:
-        at_us = self._kernel.now_us() + 2_500_000
-        self._kernel.call_at(at_us, lambda: refuse(self, advice_us))
+        at_us = self._scheduler.now_us() + 2_500_000
+        self._scheduler.call_at(at_us, lambda: refuse(self, advice_us))
 
     monkeypatch.setattr(Session, "reject", late)
     monkeypatch.setattr("stoatgw.emulator.virtual.driver.VirtualDriver.time_out", lambda self, session: None)
@@ -100,7 +101,7 @@
         machine = self.server
         begin(self, attempt, server, cut_at_us)
         if machine is not None:  # the first goes on beside the second
-            self._realm.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
+            self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
 
     monkeypatch.setattr(AttemptTracker, "perform_send", send_again)
     monkeypatch.setattr(Session, "start_attempt", both)
