--- a/stoatgw/rebalance/__init__.py
+++ b/stoatgw/rebalance/__init__.py
@@ -1,11 +1,18 @@
-"""Standing connections moved towards balance: which, from where, in which order, at which rate. Pure.
+"""Plans which established sessions to migrate from overloaded servers, in which order and at which rate. Pure.
 
-Promises bounds in all, by server and by group, no connection moved twice within a span, and no move whose gain is
-under its cost. Where a moved client goes is left to the module, which admits it as it does any.
+Promises bounds in all, by server and by group, no client migrated twice within an interval, and no migration whose
+gain is under its cost. Where a migrated client goes is left to the decisions, which admit it as any other.
 """
 
 from stoatgw.rebalance.limits import RebalanceLimits
-from stoatgw.rebalance.planner import Planner
+from stoatgw.rebalance.planner import RebalancePlanner
 from stoatgw.rebalance.snapshot import FleetSnapshot, PlannedMigration, ServerSnapshot, SessionSnapshot
 
-__all__ = ["FleetSnapshot", "PlannedMigration", "Planner", "RebalanceLimits", "ServerSnapshot", "SessionSnapshot"]
+__all__ = [
+    "FleetSnapshot",
+    "PlannedMigration",
+    "RebalanceLimits",
+    "RebalancePlanner",
+    "ServerSnapshot",
+    "SessionSnapshot",
+]
--- a/stoatgw/rebalance/rebalancer.py
+++ b/stoatgw/rebalance/rebalancer.py
@@ -1,49 +1,57 @@
-"""From what the module believes to a picture, and from the plan to reqs: what the owner calls each step."""
+"""From the decisions' estimates to a snapshot, and from the plan to requests: what the controller calls each step."""
 
 from __future__ import annotations
 
-from stoatgw.decisions.interface import ServerEstimate, Settings
+from stoatgw.decisions.interface import Request, ServerEstimate, Settings
 from stoatgw.rebalance.limits import RebalanceLimits
-from stoatgw.rebalance.planner import Planner
-from stoatgw.rebalance.snapshot import FleetSnapshot, PlannedMigration, ServerSnapshot, SessionSnapshot
+from stoatgw.rebalance.planner import RebalancePlanner
+from stoatgw.rebalance.snapshot import FleetSnapshot, ServerSnapshot, SessionSnapshot
+
+STEP_OFFSET_US = 37_000  # by which the step of each further proxy is longer
+MEAN_LOAD_UNITS = 1.0  # loads of single sessions are not known: each counts as a mean one
 
 
 class Rebalancer:
+    """Plans the migrations of one proxy; called by the controller's task alone.
+
+    Attributes:
+        interval_us: Time between two steps.
+    """
+
     def __init__(self, limits: RebalanceLimits, settings: Settings, seed: int) -> None:
-        # Steps of a length of their own: proxies that act at one moment would all act on one picture.
-        self.interval_us = limits.step_us + (settings.rank * 37_000) % max(1, limits.step_us // 4)
-        self._planner, self._settings = Planner(limits, seed), settings
-        self._top_worth = max(profile.worth for profile in settings.profiles) or 1.0
-        self.planned: list[PlannedMigration] = []  # the last step's
-
-    def picture(self, beliefs: list[ServerEstimate], now_us: int) -> FleetSnapshot:
-        settings = self._settings
-        views = tuple(
-            ServerSnapshot(
-                each.server,
-                each.zone == settings.zone,
-                each.load,
-                each.load_per_connection,
-                each.connections,
-                each.report_age_us,
-                each.warm_up_fraction,
-                each.setups_in_flight,
-                each.is_healthy,
-                tuple(
-                    SessionSnapshot(
-                        asked.request_id,
-                        asked.idempotency_key,
-                        asked.group if settings.groups else None,
-                        settings.profiles[asked.request_class].worth / self._top_worth,
-                        1.0,
-                    )
-                    for asked in each.own_sessions
-                ),
-            )
-            for each in beliefs
+        # Proxies that plan at one moment would all plan on one snapshot: each has a step of another length.
+        max_offset_us = max(1, limits.step_interval_us // 4)
+        self.interval_us = limits.step_interval_us + (settings.rank * STEP_OFFSET_US) % max_offset_us
+        self._planner = RebalancePlanner(limits, seed)
+        self._settings = settings
+        self._max_weight = max(request_class.worth for request_class in settings.profiles) or 1.0
+
+    def plan(self, estimates: list[ServerEstimate], now_us: int) -> list[str]:
+        """The requests of the sessions to migrate now, in order."""
+        return [migration.request_id for migration in self._planner.plan(self.build_snapshot(estimates, now_us))]
+
+    def build_snapshot(self, estimates: list[ServerEstimate], now_us: int) -> FleetSnapshot:
+        """The planner's view of the estimates."""
+        return FleetSnapshot(now_us, tuple(self._server_snapshot(estimate) for estimate in estimates))
+
+    def _server_snapshot(self, estimate: ServerEstimate) -> ServerSnapshot:
+        return ServerSnapshot(
+            name=estimate.server,
+            load=estimate.load,
+            load_per_connection=estimate.load_per_connection,
+            connections=estimate.connections,
+            report_age_us=estimate.report_age_us,
+            warm_up_fraction=estimate.warm_up_fraction,
+            setups_in_flight=estimate.setups_in_flight,
+            is_healthy=estimate.is_healthy,
+            own_sessions=tuple(self._session_snapshot(request) for request in estimate.own_sessions),
         )
-        return FleetSnapshot(now_us, views, settings.balancers)
 
-    def plan(self, beliefs: list[ServerEstimate], now_us: int) -> list[str]:
-        self.planned = self._planner.plan(self.picture(beliefs, now_us))
-        return [each.request for each in self.planned]
+    def _session_snapshot(self, request: Request) -> SessionSnapshot:
+        return SessionSnapshot(
+            request_id=request.request_id,
+            idempotency_key=request.idempotency_key,
+            group=request.group if self._settings.groups else None,
+            priority_weight=self._settings.profiles[request.request_class].worth / self._max_weight,
+            load_units=MEAN_LOAD_UNITS,
+        )
