--- a/stoatgw/simulator_wire/host.py
+++ b/stoatgw/simulator_wire/host.py
@@ -3,71 +3,114 @@
 from __future__ import annotations
 
 import gc
+import io
 import sys
 import traceback
 from typing import TextIO
 
 from stoatgw.decisions.balancer import Balancer
-from stoatgw.simulator_wire.codec import Decoder, Start, Stop, WireError, encode, encode_crash
+from stoatgw.decisions.interface import Action
+from stoatgw.simulator_wire.decoder import Decoder
+from stoatgw.simulator_wire.encoder import encode, encode_crash
+from stoatgw.simulator_wire.errors import WireError
+from stoatgw.simulator_wire.messages import Delivery, Start, Stop
 
+WIRE_ERROR_STATUS = 2
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends; raises WireError on malformed input."""
-    decoder = Decoder()
-    instances: dict[int, Balancer] = {}
-    now_us: int | None = None
-    replies: list[str] = []
-    for number, raw in enumerate(source, start=1):
-        line = raw.rstrip("\r\n")
-        if now_us is None:
+
+class BalancerHost:
+    """Some balancer instances, and the batch that is being read."""
+
+    def __init__(self) -> None:
+        self._decoder = Decoder()
+        self._instances: dict[int, Balancer] = {}
+        self._now_us: int | None = None  # of the batch's TURN; None between two batches
+        self._replies: list[str] = []
+
+    @property
+    def is_in_batch(self) -> bool:
+        """Whether a batch was opened and its GO has not come."""
+        return self._now_us is not None
+
+    def receive_line(self, line: str, line_number: int) -> str | None:
+        """Handle one line; returns the answer to the batch at its GO, and None before.
+
+        Raises:
+            WireError: The line cannot be read, or names an instance that does not run.
+        """
+        if self._now_us is None:
             if line:
-                now_us = decoder.turn(line, number)
-            continue
+                self._now_us = self._decoder.decode_turn(line, line_number)
+            return None
         if line == "GO":
-            decoder.finish(number)
-            sink.write("".join(reply + "\n" for reply in replies) + "DONE\n")
-            sink.flush()
-            replies.clear()
-            now_us = None
-            continue
-        message = decoder.message(line, number)
-        if message is None:
-            continue
+            return self._finish_batch(line_number)
+        message = self._decoder.decode(line, line_number)
         if isinstance(message, Stop):
-            if instances.pop(message.instance, None) is None:
-                raise WireError(f"line {number}: field i: no instance {message.instance} is running")
-            continue
+            if self._instances.pop(message.instance, None) is None:
+                raise _not_running(message.instance, line_number)
+        elif message is not None:
+            self._run(message, self._now_us, line_number)
+        return None
+
+    def _finish_batch(self, line_number: int) -> str:
+        self._decoder.finish_batch(line_number)
+        answer = "".join(reply + "\n" for reply in self._replies) + "DONE\n"
+        self._replies.clear()
+        self._now_us = None
+        return answer
+
+    def _run(self, message: Start | Delivery, now_us: int, line_number: int) -> None:
+        """Let an instance act; a fault of its code is reported and ends nothing."""
+        if isinstance(message, Delivery) and message.instance not in self._instances:
+            raise _not_running(message.instance, line_number)
         try:
-            if isinstance(message, Start):
-                balancer = Balancer(message.settings, message.seed)
-                instances[message.instance] = balancer
-                actions = balancer.start(now_us)
-            elif message.instance not in instances:
-                raise WireError(f"line {number}: field i: no instance {message.instance} is running")
-            else:
-                actions = instances[message.instance].handle(message.event, now_us)
-        except WireError:
-            raise
+            actions = self._act(message, now_us)
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
-            replies.append(encode_crash(message.instance, repr(error)))
-            continue
+            self._replies.append(encode_crash(message.instance, repr(error)))
+            return
         for action in actions:
-            replies.append(encode(message.instance, action))
-    if now_us is not None:
+            self._replies.append(encode(message.instance, action))
+
+    def _act(self, message: Start | Delivery, now_us: int) -> list[Action]:
+        if isinstance(message, Delivery):
+            return self._instances[message.instance].handle(message.event, now_us)
+        balancer = Balancer(message.settings, message.seed)
+        self._instances[message.instance] = balancer
+        return balancer.start(now_us)
+
+
+def _not_running(instance: int, line_number: int) -> WireError:
+    return WireError(f"line {line_number}: field i: no instance {instance} is running")
+
+
+def serve(source: TextIO, sink: TextIO) -> None:
+    """Answer batch after batch until the input ends.
+
+    Raises:
+        WireError: The input is malformed, or ends inside a batch.
+    """
+    host = BalancerHost()
+    for line_number, raw in enumerate(source, start=1):
+        answer = host.receive_line(raw.rstrip("\r\n"), line_number)
+        if answer is not None:
+            sink.write(answer)
+            sink.flush()
+    if host.is_in_batch:
         raise WireError("the input ended inside a batch")
 
 
 def main() -> int:
-    """Run the adapter; the exit status is 0 when the input ended in good order."""
+    """Run the host on standard input and output; the exit status is 0 when the input ended in good order."""
     gc.freeze()
-    sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
-    sys.stdout.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
+    for stream in (sys.stdin, sys.stdout):
+        if isinstance(stream, io.TextIOWrapper):
+            stream.reconfigure(encoding="utf-8", newline="\n")
     try:
         serve(sys.stdin, sys.stdout)
     except (WireError, UnicodeDecodeError) as error:
         print(f"stoatgw: {error}", file=sys.stderr)
-        return 2
+        return WIRE_ERROR_STATUS
     return 0
 
 
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,15 +1,17 @@
-"""The codec, both ways, and the adapter's loop."""
+"""The wire's lines, both ways, and the host's loop."""
 
 from __future__ import annotations
 
 import io
 import subprocess
 import sys
+from typing import get_args
 
 import pytest
 
 from stoatgw.config.settings import read_settings
 from stoatgw.decisions.interface import (
+    Action,
     AttemptEstablished,
     AttemptOutcome,
     AttemptStatus,
@@ -32,8 +34,11 @@
     SettingsError,
     Subscribe,
 )
-from stoatgw.simulator_wire.codec import Decoder, Delivery, Start, WireError, encode
+from stoatgw.simulator_wire.decoder import Decoder
+from stoatgw.simulator_wire.encoder import encode
+from stoatgw.simulator_wire.errors import WireError
 from stoatgw.simulator_wire.host import serve
+from stoatgw.simulator_wire.messages import Delivery, Start
 
 PAIRS = {
     "balancers": "3",
@@ -55,16 +60,16 @@
     "rules.fall_multiple": "2.5",
     "some.unknown.key": "whatever",
 }
-NEW = "NEW_INSTANCE\t0\t7\t" + "\t".join(f"{path}={value}" for path, value in PAIRS.items())
+START_LINE = "NEW_INSTANCE\t0\t7\t" + "\t".join(f"{path}={value}" for path, value in PAIRS.items())
 
 
 def decode(line: str) -> object:
-    message = Decoder().message(line, 1)
+    message = Decoder().decode(line, 1)
     assert isinstance(message, Delivery)
     return message.event
 
 
-def test_request_line() -> None:
+def test_a_request_line_becomes_a_request() -> None:
     line = "ACCEPT\t3\t1f7a7d575d3a91c4\t12000\t1\t0\t240000\t4050608788307276\t0\t4569004829183723"
     assert decode(line) == Request(
         request_id="1f7a7d575d3a91c4",
@@ -79,10 +84,13 @@
     bare = decode("ACCEPT\t3\t1f7a7d575d3a91c4\t-\t26\t-\t240000\t-\t1\t-")
     assert isinstance(bare, Request)
     assert (bare.hint_us, bare.idempotency_key, bare.tenant, bare.request_class) == (None, None, 0, 1)
-    assert bare.is_client_retry and bare.is_mid_flow and bare.is_returning and not bare.hint_valid
+    assert bare.is_client_retry
+    assert bare.is_mid_flow
+    assert bare.is_returning
+    assert not bare.hint_valid
 
 
-def test_event_lines() -> None:
+def test_lines_become_events() -> None:
     assert decode("BEGUN\t3\taa\t9250\t0\tserver.x") == AttemptEstablished("aa", 0, "server.x", 9250)
     assert decode("CHANGE\t3\taa\t0\tserver.x\t1\t0.5") == SessionMetric(
         "aa", 0, "server.x", SessionMetricKind.LOAD, 0.5
@@ -93,29 +101,31 @@
     assert getattr(decode(existing), "server", None) == "server.x"
 
 
-def test_lists_resolve_by_event_order() -> None:
+def test_lists_are_resolved_in_the_order_of_events() -> None:
     decoder = Decoder()
     lines = ["POOL\t0\t1", "ROW\t1.5\ton\t0\tserver.a\t61\t0\t1", "DIRECTORY_UPDATE\t3\tdisk\t41\t0"]
     lines += ["POOL\t0\t1", "ROW\t-\tfading\t-\tserver.b\t-\t0\t2", "DIRECTORY_UPDATE\t3\tdiff\t42\t0"]
     lines += ["POOL\t1\t0", "DIRECTORY_UPDATE\t3\tsnapshot\t43\t1"]
     updates = []
     for number, line in enumerate(lines, 1):
-        message = decoder.message(line, number)
+        message = decoder.decode(line, number)
         if isinstance(message, Delivery) and isinstance(message.event, EndpointUpdate):
             updates.append(message.event.endpoints)
     assert [len(entries) for entries in updates] == [1, 1, 0]
     assert updates[0][0].started_us == 61
-    assert updates[1][0].lifecycle is Lifecycle.DRAINING and updates[1][0].weight == 1.0
+    assert updates[1][0].lifecycle is Lifecycle.DRAINING
+    assert updates[1][0].weight == 1.0
 
 
-def test_settings() -> None:
-    start = Decoder().message(NEW, 1)
-    assert isinstance(start, Start) and start.seed == 7
-    got = start.settings
-    assert (got.balancers, got.rank, got.zone, got.max_attempts) == (3, 1, 2, 4)
-    assert got.report_columns == ("utilization", "outstanding", "x0")
-    assert got.tenant_quota_connections == (323.0, float("inf"))
-    assert got.profiles[0].message_aim_us == 100_000
+def test_settings_are_read_from_pairs() -> None:
+    start = Decoder().decode(START_LINE, 1)
+    assert isinstance(start, Start)
+    assert start.seed == 7
+    settings = start.settings
+    assert (settings.balancers, settings.rank, settings.zone, settings.max_attempts) == (3, 1, 2, 4)
+    assert settings.report_columns == ("utilization", "outstanding", "x0")
+    assert settings.tenant_quota_connections == (323.0, float("inf"))
+    assert settings.profiles[0].message_aim_us == 100_000
 
 
 @pytest.mark.parametrize(
@@ -139,7 +149,7 @@
         read_settings(pairs)
 
 
-def test_actions() -> None:
+def test_actions_become_lines() -> None:
     assert encode(3, Send("aa", "server.x", 99)) == "TRANSMIT\t3\taa\tserver.x\t99"
     assert encode(3, Cancel("aa", 1)) == "CANCEL\t3\taa\t1"
     assert encode(3, Reject("aa", 250_000)) == "SHED\t3\taa\t250000"
@@ -155,18 +165,38 @@
     assert encode(3, Log("two\tservers\nknown")) == "NOTE_DOWN\t3\ttwo servers known"
 
 
-def play(*lines: str) -> str:
+def test_every_action_has_a_line() -> None:
+    samples: dict[type, Action] = {
+        Send: Send("aa", "s", 1),
+        Cancel: Cancel("aa", 1),
+        Reject: Reject("aa"),
+        Fail: Fail("aa"),
+        Migrate: Migrate("aa"),
+        Subscribe: Subscribe(False),
+        FetchEndpoints: FetchEndpoints(),
+        SetTimer: SetTimer(1, 2),
+        CheckHealth: CheckHealth("s"),
+        CloseIdle: CloseIdle("s"),
+        Gossip: Gossip(1, b""),
+        Log: Log("text"),
+    }
+    assert samples.keys() == set(get_args(Action))
+    keywords = {encode(0, action).split("\t")[0] for action in samples.values()}
+    assert len(keywords) == len(samples)
+
+
+def run_host(*lines: str) -> str:
     sink = io.StringIO()
     serve(io.StringIO("".join(line + "\n" for line in lines)), sink)
     return sink.getvalue()
 
 
-def test_an_empty_batch() -> None:
-    assert play("TURN\t8412250", "GO") == "DONE\n"
+def test_an_empty_batch_is_answered() -> None:
+    assert run_host("TURN\t8412250", "GO") == "DONE\n"
 
 
 @pytest.mark.parametrize(
-    ("line", "complaint"),
+    ("line", "reason"),
     [
         ("NONSENSE\t0", "line 2: unknown message"),
         ("HANGUP\t0", "line 2: HANGUP has 1 fields where 2 belong"),
@@ -181,13 +211,13 @@
         ("NEW_INSTANCE\t0\t7\tbalancers=3", "field settings: setting profiles.count is missing"),
     ],
 )
-def test_malformed_lines_are_named(line: str, complaint: str) -> None:
+def test_a_malformed_line_is_named_in_the_error(line: str, reason: str) -> None:
     with pytest.raises(WireError) as caught:
-        play("TURN\t1", line, "GO")
-    assert complaint in str(caught.value)
+        run_host("TURN\t1", line, "GO")
+    assert reason in str(caught.value)
 
 
-def test_the_adapter_process_complains_on_standard_error_only() -> None:
+def test_the_process_reports_errors_on_standard_error_only() -> None:
     done = subprocess.run(
         [sys.executable, "-m", "stoatgw.simulator_wire"],
         input="TURN\t1\nGO\nTURN\t2\nHANGUP\t0\n",
@@ -197,15 +227,16 @@
     )
     assert done.returncode == 2
     assert done.stdout == "DONE\n"
-    assert "line 4: HANGUP" in done.stderr and len(done.stderr.splitlines()) == 1
+    assert "line 4: HANGUP" in done.stderr
+    assert len(done.stderr.splitlines()) == 1
 
 
-def day(instances: list[int]) -> dict[int, list[str]]:
+def run_day(instances: list[int]) -> dict[int, list[str]]:
     """The actions of some instances that live in one process."""
     lines = ["TURN\t1000000", "POOL\t0\t3"]
     lines += [f"ROW\t1\ton\t0\tserver.{name}\t-\t0\t{zone}" for name, zone in (("a", 1), ("b", 1), ("c", 2))]
     for instance in instances:
-        lines.append(NEW.replace("NEW_INSTANCE\t0\t7", f"NEW_INSTANCE\t{instance}\t{instance + 40}"))
+        lines.append(START_LINE.replace("NEW_INSTANCE\t0\t7", f"NEW_INSTANCE\t{instance}\t{instance + 40}"))
         lines.append(f"DIRECTORY_UPDATE\t{instance}\tdisk\t1\t0")
     lines.append("GO")
     for step in range(1, 30):
@@ -219,21 +250,22 @@
                 lines.append(f"HEALTH_RESULT\t{instance}\tserver.b\tdelivered\t500\t{load}")
         lines.append("GO")
     actions: dict[int, list[str]] = {instance: [] for instance in instances}
-    for line in play(*lines).splitlines():
+    for line in run_host(*lines).splitlines():
         if line != "DONE":
             actions[int(line.split("\t")[1])].append(line)
     return actions
 
 
 def test_instances_act_alike_together_and_apart() -> None:
-    together = day([0, 1, 2])
-    apart = day([0]) | day([1]) | day([2])
+    together = run_day([0, 1, 2])
+    apart = run_day([0]) | run_day([1]) | run_day([2])
     assert together == apart
     assert any("TRANSMIT" in line for line in together[0])
 
 
-def test_a_stopped_instance_forgets_everything() -> None:
+def test_a_stopped_instance_keeps_no_state() -> None:
     list_lines = ["POOL\t0\t1", "ROW\t1\ton\t0\tserver.a\t-\t0\t2", "DIRECTORY_UPDATE\t0\tdisk\t1\t0"]
-    ask = "ACCEPT\t0\taa\t-\t0\t0\t900000\t-\t0\t-"
-    out = play("TURN\t1", NEW, *list_lines, "STOP\t0", NEW, ask, "GO")
-    assert "SHED\t0\taa" in out and "TRANSMIT" not in out
+    request = "ACCEPT\t0\taa\t-\t0\t0\t900000\t-\t0\t-"
+    answer = run_host("TURN\t1", START_LINE, *list_lines, "STOP\t0", START_LINE, request, "GO")
+    assert "SHED\t0\taa" in answer
+    assert "TRANSMIT" not in answer
