--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -189,7 +189,7 @@
 @_one_line
 def bench(seconds: float, rounds: int, clients: int, standing: int, out: Path | None) -> None:
     """The proxy against a bare relay on one core: set-ups and lines a second, memory and descriptors."""
-    from stoatgw.lab.bench import measure
+    from stoatgw.lab.bench.measure import measure
 
     for line in measure(seconds, rounds, clients, standing, out):
         click.echo(line)
