--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -15,6 +15,7 @@
 
     @wraps(command)
     def wrapper(*args: Any, **kwargs: Any) -> Any:
+        """Run the command."""
         from stoatgw.emulator.world.scenario_file import ScenarioError
         from stoatgw.lab.errors import LabError
 
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -130,6 +130,7 @@
         missing: list[RunTask] = []
 
         def keep(task: RunTask, result: Result) -> None:
+            """Keep a result and report it."""
             results[task.name] = result
             on_result(result)
 
--- a/stoatgw/lab/recording.py
+++ b/stoatgw/lab/recording.py
@@ -140,6 +140,7 @@
     """A scorecard of a world's clients."""
 
     def utilization(name: str) -> float:
+        """A server's load over capacity; 0 where it does not serve."""
         server = world.servers.get(name)
         is_serving = server is not None and server.lifecycle is ServerLifecycle.SERVING
         return server.utilization if server is not None and is_serving else 0.0
