--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -6,15 +6,14 @@
 
 What follows `stoatgw.clients` and `stoatgw.backends.attempt` by hand, as the two sides have nothing in common there:
 
-- An attempt: there a task that waits on a socket, here scheduled events that are ignored once the attempt is over. That
-  is why `refuse_establishment` is not asked for here: after the session's end there is no event to ask it.
+- An attempt: there a task that waits on a socket, here (`attempt_model.py`) scheduled events that are ignored once it
+  is over. That is why nothing asks for `refuse_establishment` here: no event is left that could, after a session's end.
 - Migration: lines are not modelled, so MOVE never waits for the end of one.
 - The time until an unresponsive server is abandoned: 5 s here and 4 s in `SessionMonitor`, and drawn, not polled.
 """
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from functools import partial
 from typing import Protocol
 
@@ -30,14 +29,14 @@
     RequestState,
 )
 from stoatgw.decisions.interface import AttemptStatus, Request
+from stoatgw.emulator.virtual.attempt_model import AttemptModel
 from stoatgw.emulator.virtual.event_loop import VirtualScheduler
 from stoatgw.emulator.virtual.proxy import VirtualProxy
 from stoatgw.emulator.world.client import Client
 from stoatgw.emulator.world.events import EventKind
-from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
+from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
 from stoatgw.emulator.world.world_state import WorldState
 
-DIAL_TIMEOUT_US = 250_000
 UNANSWERED_TIMEOUT_US = 5_000_000  # a session whose server is unresponsive for so long is migrated at the next check
 MONITOR_INTERVAL_US = 250_000
 UNWASTED_STATUSES = (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED)  # the server spent nothing on such an attempt
@@ -61,7 +60,7 @@
 
 
 class Session:
-    """One session, from the client's request to its end; a `RequestHandler` and a `HostedSession`.
+    """One session, from the request to its end; a `RequestHandler`, a `HostedSession` and the owner of its attempts.
 
     Attributes:
         proxy: The process that serves it.
@@ -107,11 +106,14 @@
         self.is_known_to_controller = False
         self.server: ServerModel | None = None
         self._state = SessionState()
-        self._attempt = -1  # number of the last attempt
-        self._stage = AttemptStage.CONNECTING
-        self._generation = 0  # what was scheduled in an earlier one is ignored
+        self._attempt = AttemptModel(host.world, host.scheduler, proxy, self)
         self._established_us = 0
 
+    @property
+    def has_ended(self) -> bool:
+        """Whether the session is over."""
+        return self._state.has_ended
+
     # The client's side.
 
     def receive_request(self) -> None:
@@ -144,32 +146,31 @@
         if not self._state.is_established or self.server is None:
             self._host.disconnect_client(self)
             return
-        latency_us = self._world.client_latency_us + self._draw_latency_us(self.server)
-        self._call_after(latency_us, partial(self.server_ended, "BYE", AttemptStatus.DELIVERED))
+        latency_us = self._world.client_latency_us + self._attempt.draw_latency_us(self.server)
+        self._attempt.call_after(latency_us, partial(self.server_ended, "BYE", AttemptStatus.DELIVERED))
 
     # What the controller asks for: see `RequestHandler`.
 
     def start_attempt(self, number: int, server_name: str, deadline_us: int) -> None:
         """Starts an attempt at a server."""
-        self._attempt = number
-        self._stage = AttemptStage.CONNECTING
+        self._attempt.prepare(number)
         refused = self._state.refuse_attempt()
         if refused is not None:
             self._post_attempt_end(refused)
             return
-        self._generation += 1
+        self._attempt.invalidate()
         self._host.counts["attempts"] += 1
         server = self._world.servers.get(server_name)
         if server is None or self.proxy.backends.get(server_name) is None:
-            self._post_attempt_end(AttemptEnd(AttemptStatus.DIAL_FAILED, self._stage, "no such backend"))
+            self._post_attempt_end(AttemptEnd(AttemptStatus.DIAL_FAILED, self._attempt.stage, "no such backend"))
             return
         self.server = server
-        self._connect(server, deadline_us)
+        self._attempt.connect(server, deadline_us)
 
     def cancel_attempt(self, number: int) -> None:
         """Cancels an attempt that is not established."""
-        if number == self._attempt and not self._state.is_established:
-            self._end_attempt(self._state.interrupted_attempt(self._stage))
+        if number == self._attempt.number and not self._state.is_established:
+            self.on_attempt_failed(self._state.interrupted_attempt(self._attempt.stage))
 
     def reject(self, retry_after_us: int) -> None:
         """Answers BUSY."""
@@ -194,81 +195,17 @@
 
     # One attempt.
 
-    def _connect(self, server: ServerModel, deadline_us: int) -> None:
-        now_us = self._scheduler.now_us()
-        dial_deadline_us = min(now_us + DIAL_TIMEOUT_US, deadline_us)
-        connected_us = now_us + 2 * self._draw_latency_us(server)
-        is_refused = self.proxy.random.next() < self._world.scenario.network.connect_failures
-        if self._world.is_unreachable(self.proxy.zone, server) or connected_us > dial_deadline_us:
-            self._call_in_proxy(dial_deadline_us, self._on_connect_failed)
-        elif server.lifecycle is ServerLifecycle.GONE or is_refused:
-            self._call_in_proxy(connected_us, self._on_connect_failed)
-        else:
-            self._call_in_proxy(connected_us, partial(self._on_connected, server, deadline_us))
-
-    def _on_connect_failed(self) -> None:
-        self._fail_attempt(AttemptStatus.DIAL_FAILED, "could not connect")
-
-    def _on_connected(self, server: ServerModel, deadline_us: int) -> None:
-        now_us = self._scheduler.now_us()
-        backend = self.proxy.backends.get(server.name)
-        grace_us = self.proxy.settings.drain_grace_us
-        if backend is None or not backend.accepts_new_sessions(now_us, grace_us) or now_us >= deadline_us:
-            self._fail_attempt(AttemptStatus.DIAL_FAILED, "it left meanwhile, or no time is left")
-            return
-        self._stage = AttemptStage.SENT
-        self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, server.name, self._attempt)
-        self._call_in_proxy(deadline_us, partial(self._fail_attempt, AttemptStatus.EXPIRED, "timed out"))
-        arrive = partial(self._receive_at_server, server, self._generation, self._attempt, deadline_us)
-        self._call_after(self._draw_latency_us(server), arrive)
-
-    def _receive_at_server(self, server: ServerModel, generation: int, attempt: int, deadline_us: int) -> None:
-        """The complete request has arrived: from now on it may run, whether its proxy still waits or not."""
-        if self._world.is_unreachable(self.proxy.zone, server):
-            return
-        if server.lifecycle is ServerLifecycle.GONE:
-            self._receive_refusal(server, generation, AttemptStatus.DROPPED)
-            return
-        now_us = self._scheduler.now_us()
-        units = server.expected_load_units(self.group)
-        self._world.log(EventKind.ATTEMPT_EXECUTED, self.proxy.name, self.name, server.name, attempt, f"{units:g}")
-        decision = server.handle_open(now_us, units, self.group, deadline_us)
-        if decision.outcome == "reset":
-            self._receive_refusal(server, generation, AttemptStatus.DROPPED)
-            return
-        decide = partial(self._decide_at_server, server, generation, decision.outcome, server.started_us)
-        self._scheduler.call_at(decision.decided_at_us, decide)
-
-    def _decide_at_server(self, server: ServerModel, generation: int, outcome: str, started_us: int) -> None:
-        is_same_process = server.started_us == started_us
-        if (is_same_process and outcome == "up") or server.setups_in_progress > 0:
-            server.finish_setup()
-        if server.lifecycle is ServerLifecycle.GONE or not is_same_process or not self._is_current(generation):
-            return  # its death was reported already; or nobody waits any more
-        if outcome == "busy" or server.lifecycle is not ServerLifecycle.SERVING:
-            self._receive_refusal(server, generation, AttemptStatus.SHED)
-            return
-        self._open_at_server(server, is_reachable=not self.proxy.loop.is_frozen)
-        latency_us = self._draw_latency_us(server)
-        if not self._world.is_unreachable(self.proxy.zone, server):
-            self._call_in_proxy(self._scheduler.now_us() + latency_us, self._on_established)
-
-    def _receive_refusal(self, server: ServerModel, generation: int, status: AttemptStatus) -> None:
-        """The server's refusal, or its end, is on its way to the proxy."""
-        if self._is_current(generation):
-            at_us = self._scheduler.now_us() + self._draw_latency_us(server)
-            self._call_in_proxy(at_us, partial(self._fail_attempt, status, status.value))
-
-    def _on_established(self) -> None:
+    def on_established(self) -> None:
+        """UP has arrived at the proxy."""
         server = self.server
         if server is None:
             return
         self._establish(server)
-        self._generation += 1  # the deadline no longer counts
-        self._world.log(EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, server.name, self._attempt, "up")
+        self._attempt.invalidate()  # the deadline no longer counts
+        self._world.log(EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, server.name, self._attempt.number, "up")
         self._answer("up", 0)
         self._log_established(server)
-        self.proxy.controller.post(AttemptEstablished(self.request_state, self._attempt))
+        self.proxy.controller.post(AttemptEstablished(self.request_state, self._attempt.number))
         if server.lifecycle is ServerLifecycle.DRAINING:  # it sent MOVE on all sessions while this UP was on its way
             self.server_ended("MOVE", AttemptStatus.REVOKED)
 
@@ -278,15 +215,15 @@
         self.is_known_to_controller = True
         self.is_answered = True
         self.is_client_answered = True
-        self._attempt = 0
+        self._attempt.prepare(0)
         self.server = server
         self._establish(server)
-        self._open_at_server(server, is_reachable=True)
+        self._attempt.open_at_server(server, is_reachable=True)
         self._log_established(server)
 
     def _establish(self, server: ServerModel) -> None:
         self._state.establish()
-        self._stage = AttemptStage.ESTABLISHED
+        self._attempt.stage = AttemptStage.ESTABLISHED
         self._established_us = self._scheduler.now_us()
         self.proxy.established.setdefault(server.name, {})[self.name] = self
 
@@ -295,52 +232,24 @@
             EventKind.SESSION_ESTABLISHED, self.proxy.name, self.name, server.name, detail=str(self.client.index)
         )
 
-    def _fail_attempt(self, status: AttemptStatus, reason: str) -> None:
-        self._end_attempt(AttemptEnd(status, self._stage, reason))
-
-    def _end_attempt(self, end: AttemptEnd) -> None:
+    def on_attempt_failed(self, end: AttemptEnd) -> None:
         """An attempt that is not established is over."""
         server = self.server
-        self._generation += 1
+        self._attempt.invalidate()
         self.server = None
         if server is not None:
-            if self._stage is AttemptStage.SENT:
-                self._log_attempt_ended(server, end.status.value)
+            if self._attempt.stage is AttemptStage.SENT:
+                self._attempt.log_ended(server, end.status.value)
                 if end.status not in UNWASTED_STATUSES:
                     self._host.counts["wasted"] += 1
-            self._close_to_server(server)
+            self._attempt.close_to_server(server)
         self._post_attempt_end(end)
 
-    def _log_attempt_ended(self, server: ServerModel, how: str) -> None:
-        self._world.log(EventKind.ATTEMPT_ENDED, self.proxy.name, self.name, server.name, self._attempt, how)
-
     def _post_attempt_end(self, end: AttemptEnd) -> None:
-        self.proxy.controller.post(AttemptEnded(self.request_state, self._attempt, end))
+        self.proxy.controller.post(AttemptEnded(self.request_state, self._attempt.number, end))
 
     # The server's side.
 
-    def _open_at_server(self, server: ServerModel, *, is_reachable: bool) -> None:
-        units, change_us = self.client.next_load()
-        on_dropped = partial(self.server_ended, "drop", AttemptStatus.DROPPED)
-        connection = HeldConnection(self.name, self.request_class, units, self.group, is_reachable, on_dropped)
-        server.add_connection(self._scheduler.now_us(), connection)
-        self._call_after(change_us, partial(self._change_load, server))
-
-    def _change_load(self, server: ServerModel) -> None:
-        """The load of the connection changes, as long as the server holds it."""
-        now_us = self._scheduler.now_us()
-        if self.name in server.connections and now_us < self._world.end_us:
-            units, change_us = self.client.next_load()
-            server.update_load(now_us, self.name, units)
-            self._call_after(change_us, partial(self._change_load, server))
-
-    def _close_to_server(self, server: ServerModel) -> None:
-        """The proxy closes its connection to the server, which notices after the network's latency."""
-        self._call_after(self._draw_latency_us(server), partial(self._close_at_server, server))
-
-    def _close_at_server(self, server: ServerModel) -> None:
-        server.remove_connection(self._scheduler.now_us(), self.name)
-
     def server_ended(self, how: str, status: AttemptStatus) -> None:
         """The server closed the connection, or died: the proxy notices after the network's latency."""
         server = self.server
@@ -349,11 +258,11 @@
         server.remove_connection(self._scheduler.now_us(), self.name)
         if self._world.is_unreachable(self.proxy.zone, server):
             return
-        at_us = self._scheduler.now_us() + self._draw_latency_us(server)
+        at_us = self._scheduler.now_us() + self._attempt.draw_latency_us(server)
         if self._state.is_established:
-            self._call_in_proxy(at_us, partial(self._on_server_ended, how, status))
+            self._attempt.call_in_proxy(at_us, partial(self._on_server_ended, how, status))
         else:
-            self._call_in_proxy(at_us, partial(self._fail_attempt, status, how))
+            self._attempt.call_in_proxy(at_us, partial(self._attempt.fail, status, how))
 
     def _on_server_ended(self, how: str, status: AttemptStatus) -> None:
         self._state.finish(SessionEnd(EndReason.SERVER_ENDED))
@@ -361,7 +270,7 @@
         if how != "BYE":
             self._send_disconnect("moved" if how == "MOVE" else "broken")
         self._remove_established()
-        self._post_attempt_end(AttemptEnd(status, self._stage, how))
+        self._post_attempt_end(AttemptEnd(status, self._attempt.stage, how))
         self._release()
 
     def lose_server(self) -> None:
@@ -374,7 +283,7 @@
         until_line_us = int(line_interval_us * self.proxy.random.next())
         until_check_us = int(MONITOR_INTERVAL_US * self.proxy.random.next())
         at_us = self._scheduler.now_us() + until_line_us + UNANSWERED_TIMEOUT_US + until_check_us
-        self._call_in_proxy(at_us, partial(self._abandon_server, server))
+        self._attempt.call_in_proxy(at_us, partial(self._abandon_server, server))
 
     def _abandon_server(self, server: ServerModel) -> None:
         if self._world.is_unreachable(self.proxy.zone, server):
@@ -392,13 +301,13 @@
             self._world.log(EventKind.SESSION_BROKEN, self.proxy.name, self.name)
         elif self._state.is_established:
             self._world.log(EventKind.SESSION_ENDED, self.proxy.name, self.name, detail="proxy killed")
-        elif self.server is not None and self._stage is AttemptStage.SENT:
-            self._log_attempt_ended(self.server, how)
+        elif self.server is not None and self._attempt.stage is AttemptStage.SENT:
+            self._attempt.log_ended(self.server, how)
         self._send_disconnect("broken")
-        self._generation += 1
+        self._attempt.invalidate()
         if self.server is not None:
             self._count_established_time(self.server)
-            self._close_to_server(self.server)
+            self._attempt.close_to_server(self.server)
         self.proxy.sessions.pop(self.name, None)
 
     def _finish(self, reason: EndReason) -> None:
@@ -410,7 +319,7 @@
         if self._state.is_established:
             self._close_established(reason)
         elif self.server is not None:
-            self._end_attempt(self._state.interrupted_attempt(self._stage))
+            self.on_attempt_failed(self._state.interrupted_attempt(self._attempt.stage))
         self._release()
 
     def _close_established(self, reason: EndReason) -> None:
@@ -419,8 +328,8 @@
         server = self.server
         self._remove_established()
         if server is not None:
-            self._close_to_server(server)
-        self._post_attempt_end(self._state.interrupted_attempt(self._stage))
+            self._attempt.close_to_server(server)
+        self._post_attempt_end(self._state.interrupted_attempt(self._attempt.stage))
 
     def _remove_established(self) -> None:
         server = self.server
@@ -443,7 +352,7 @@
 
     def _release(self) -> None:
         self.is_known_to_controller = False
-        self._generation += 1
+        self._attempt.invalidate()
         self.proxy.sessions.pop(self.name, None)
 
     # Answers and ends on their way to the client.
@@ -455,32 +364,7 @@
 
     def _send_answer(self, kind: str, retry_after_us: int) -> None:
         receive = partial(self._host.receive_answer, self, kind, retry_after_us)
-        self._call_after(self._world.client_latency_us, receive)
+        self._attempt.call_after(self._world.client_latency_us, receive)
 
     def _send_disconnect(self, reason: str) -> None:
-        self._call_after(self._world.client_latency_us, partial(self._host.receive_disconnect, self, reason))
-
-    # Time.
-
-    def _draw_latency_us(self, server: ServerModel) -> int:
-        """The network's latency between proxy and server, one way, this time."""
-        base_us = self._world.one_way_latency_us(self.proxy.zone, server)
-        jitter = self._world.scenario.network.jitter
-        return max(1, int(base_us * (1.0 + jitter * (2.0 * self.proxy.random.next() - 1.0))))
-
-    def _is_current(self, generation: int) -> bool:
-        return self._generation == generation and not self._state.has_ended
-
-    def _call_after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Schedules what happens outside the proxy's process."""
-        self._scheduler.call_at(self._scheduler.now_us() + delay_us, action)
-
-    def _call_in_proxy(self, at_us: int, action: Callable[[], None]) -> None:
-        """Schedules an action in the proxy's process, unless the attempt or the session is over by then."""
-        generation = self._generation
-
-        def run() -> None:
-            if self._is_current(generation):
-                action()
-
-        self._scheduler.call_at(at_us, partial(self.proxy.loop.deliver, run))
+        self._attempt.call_after(self._world.client_latency_us, partial(self._host.receive_disconnect, self, reason))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -22,6 +22,7 @@
 from stoatgw.controller.messages import AttemptEstablished
 from stoatgw.emulator.checker.checker import Checker
 from stoatgw.emulator.checker.rules import CheckerLimits
+from stoatgw.emulator.virtual.attempt_model import AttemptModel
 from stoatgw.emulator.virtual.driver import SETTLE_US, PolicyBuilder, VirtualDriver, balancer_policy
 from stoatgw.emulator.virtual.event_loop import ProcessEventLoop, VirtualScheduler
 from stoatgw.emulator.virtual.policies import omniscient_policy, random_policy
@@ -413,15 +414,15 @@
 
 
 def test_a_server_that_dies_between_the_first_and_last_byte_costs_one_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    sent, killed = Session._on_connected, list[str]()
+    sent, killed = AttemptModel._on_connected, list[str]()
 
-    def die(self: Session, server: ServerModel, cut_at_us: int) -> None:
+    def die(self: AttemptModel, server: ServerModel, cut_at_us: int) -> None:
         sent(self, server, cut_at_us)
         if len(killed) < 2 and server.lifecycle is ServerLifecycle.SERVING:
             killed.append(server.properties.name)
             self._world.kill_server(server)
 
-    monkeypatch.setattr(Session, "_on_connected", die)
+    monkeypatch.setattr(AttemptModel, "_on_connected", die)
     driver, checker, events = play(load_by_name("calm"))
     assert len(killed) == 2
     assert checker.violations == []
