--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -180,6 +180,6 @@
 @_report_errors
 def sharing(sizes: tuple[int, ...], servers: int, out: Path) -> None:
     """Probing shared among proxies, in virtual time: probes a server, take-over, calls to the engine."""
-    from stoatgw.lab.sharing import measure
+    from stoatgw.lab.shared_health_checks import measure
 
     _echo_lines(measure(sizes, servers, out))
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -15,7 +15,7 @@
 from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
 from stoatgw.emulator.loopback.maintenance.child_process import ChildProcess
 from stoatgw.emulator.loopback.maintenance.run import MaintenanceRun
-from stoatgw.lab.sharing import ProxyFault, SimulatedFleet
+from stoatgw.lab.shared_health_checks import ProxyFault, SimulatedFleet
 from stoatgw.membership.rendezvous import MAX_LOAD_FACTOR, assign, rank_members
 from tests.operator_files import assert_rejected_in_one_line
 
