--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -169,6 +169,19 @@
     assert RolloutPlanner(LOST_MEMBER_PLAN).next_change(change.state, WITHOUT_N1, 6 * SECOND_US) is None
 
 
+def test_a_step_is_evacuated_only_when_every_member_confirms_it() -> None:
+    state = RolloutState(plan_fingerprint=LOST_MEMBER_PLAN.fingerprint, steps={"s-0": make_step(is_notified=True)})
+    out = frozenset(["s-0"])
+    evacuated = ProxyMember("n0", 0, out, out)
+    planner = RolloutPlanner(LOST_MEMBER_PLAN)
+    waiting = FleetSnapshot(MACHINES, {"n0": evacuated, "n1": ProxyMember("n1", 0, out)})
+    assert planner.next_change(state, waiting, 0) is None
+    confirmed = FleetSnapshot(MACHINES, {"n0": evacuated, "n1": ProxyMember("n1", 0, out, out)})
+    change = planner.next_change(state, confirmed, SECOND_US)
+    assert change is not None
+    assert change.event is RolloutEvent.STEP_EVACUATED
+
+
 def test_a_step_that_no_member_confirms_times_out(first_step: RolloutState) -> None:
     planner = RolloutPlanner(LOST_MEMBER_PLAN)
     assert planner.next_change(first_step, WITHOUT_N1, 0) is None
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -17,6 +17,7 @@
 from stoatgw.emulator.loopback.maintenance.run import MaintenanceRun
 from stoatgw.lab.shared_health_checks import ProxyFault, SimulatedFleet
 from stoatgw.membership.rendezvous import MAX_LOAD_FACTOR, assign, rank_members
+from stoatgw.shared_health_checks.assignment import HealthCheckAssignment
 from tests.operator_files import assert_rejected_in_one_line
 
 DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=60)
@@ -46,6 +47,20 @@
     assert 0.47 < first["a"] / 4000 < 0.53
 
 
+@pytest.mark.parametrize("is_receiving", [True, False])
+def test_a_server_of_another_member_is_taken_over_unless_this_proxy_is_cut_off(is_receiving: bool) -> None:
+    config = SharedHealthChecksConfig(check_interval_ms=250, takeover_delay_ms=900)
+    assignment = HealthCheckAssignment("n0", config)
+    servers = [f"s-{index}" for index in range(30)]
+    assignment.update(servers, ["n0", "n1"], 0)
+    own = [name for name in servers if assignment.assignees[name] == "n0"]
+    assert sorted(assignment.select_due(250_000, is_receiving=is_receiving)) == sorted(own)
+    due = assignment.select_due(900_000, is_receiving=is_receiving)
+    assert sorted(due) == sorted(servers if is_receiving else own)
+    # A takeover in progress ends as well once nothing is received.
+    assert sorted(assignment.select_due(1_200_000, is_receiving=False)) == sorted(own)
+
+
 @pytest.fixture
 def fleet() -> SimulatedFleet:
     """Three proxies and thirty servers, checked steadily since a while."""
