--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -89,19 +89,19 @@
 
 def test_two_attempts_at_once_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def send_again(self: AttemptTracker, action: api.Send) -> None:
-        req = self._requests.get(action.request_id)
-        assert req is not None
-        for attempt in (req.attempts, req.attempts + 1):
-            req.begin_attempt(action.server, self._decisions.now_us)
-            req.handler.start_attempt(attempt, action.server, req.deadline_us)
+        request = self._requests.get(action.request_id)
+        assert request is not None
+        for attempt in (request.attempts, request.attempts + 1):
+            request.begin_attempt(action.server, self._decisions.now_us)
+            request.handler.start_attempt(attempt, action.server, request.deadline_us)
 
     begin = Session.start_attempt
 
     def both(self: Session, attempt: int, server: str, cut_at_us: int) -> None:
-        machine = self.server
+        first_server = self.server
         begin(self, attempt, server, cut_at_us)
-        if machine is not None:  # the first goes on beside the second
-            self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, machine.properties.name, attempt - 1)
+        if first_server is not None:  # the first goes on beside the second
+            self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, first_server.name, attempt - 1)
 
     monkeypatch.setattr(AttemptTracker, "perform_send", send_again)
     monkeypatch.setattr(Session, "start_attempt", both)
@@ -130,7 +130,7 @@
 
 
 def test_a_proxy_that_leaks_requests_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def keep(self: RequestTable, req: RequestState) -> None:
+    def keep(self: RequestTable, request: RequestState) -> None:
         pass
 
     monkeypatch.setattr(RequestTable, "forget", keep)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -134,7 +134,7 @@
     server.advance_to(400_000)
     assert server.backlog_s == pytest.approx(0.0, abs=0.002)
     earned = server.accounting.earned_weight.sum()
-    assert 0.0 < earned < 2.0 * 10 * 0.3  # no message came in time while it stood still
+    assert 0.0 < earned < 2.0 * 10 * 0.3  # no message came in time during the pause
 
 
 def test_load_over_capacity_builds_a_backlog_until_the_newest_are_dropped() -> None:
@@ -355,13 +355,13 @@
 
 def test_the_omniscient_policy_serves_more_than_the_random_one() -> None:
     scenario = load_by_name("shrink")
-    whole = {
+    shares = {
         policy: np.mean(
             [play(scenario, seed, policy)[0].world.accounting.service_shares()["whole"] for seed in range(4)]
         )
         for policy in (random_policy, omniscient_policy)
     }
-    assert whole[omniscient_policy] > whole[random_policy] + 0.1
+    assert shares[omniscient_policy] > shares[random_policy] + 0.1
 
 
 def test_one_seed_gives_one_log_whatever_the_hash_seed() -> None:
@@ -372,7 +372,7 @@
         "s = EventSink(); VirtualDriver(load_scenario(Path('scenarios/crashes.toml')), 3, s).run(); "
         "print(s.digest, s.count)"
     )
-    told = {
+    outputs = {
         subprocess.run(
             [sys.executable, "-c", code],
             cwd=ROOT,
@@ -383,7 +383,7 @@
         ).stdout
         for seed in ("0", "1", "4242")
     }
-    assert len(told) == 1
+    assert len(outputs) == 1
 
 
 @pytest.mark.parametrize("shuffle", range(4))
@@ -397,12 +397,12 @@
     put, left = Controller.post, list[str]()
 
     def leave_with_up(self: Controller, message: Any) -> None:
-        door = message.state.handler if isinstance(message, AttemptEstablished) else None
-        if isinstance(door, Session) and len(left) < 20:
-            left.append(door.name)
-            door._scheduler.call_soon(
-                partial(door.proxy.loop.deliver, door.client_disconnected)
-            )  # before the owner's next turn
+        session = message.state.handler if isinstance(message, AttemptEstablished) else None
+        if isinstance(session, Session) and len(left) < 20:
+            left.append(session.name)
+            session._scheduler.call_soon(
+                partial(session.proxy.loop.deliver, session.client_disconnected)
+            )  # before the controller's next turn
         put(self, message)
 
     monkeypatch.setattr(Controller, "post", leave_with_up)
