--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -309,8 +309,10 @@
         call = WatchCall(close)
         assert call.state is WatchState.CONNECTING
         task = asyncio.create_task(call.receive(address, None))
-        await asyncio.wait([task])
+        _, pending = await asyncio.wait([task], timeout=10.0)  # a call that goes on would wait for the server for good
+        task.cancel()
         server.close()
+        assert not pending
         return call.state
 
     assert run(play()) is WatchState.CLOSED
