--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -148,6 +148,20 @@
     assert modules_in_circles(graph) == {"a", "b", "c"}
 
 
+def test_the_architecture_page_lists_what_each_package_imports() -> None:
+    needs = needs_of_packages()
+    page = (ROOT / "docs" / "architecture.md").read_text()
+    table = page[page.index("| package | holds | imports |") :].split("\n\n")[0]
+    rows = [[cell.strip() for cell in line.split("|")[1:-1]] for line in table.splitlines()[2:]]
+    assert len(rows) == 18
+    for packages, _, imports in rows:
+        if imports == "nothing" or imports.startswith("`"):
+            listed = set(re.findall(r"`([a-z_]+)`", imports)) | {"telemetry", "clock"}
+            for package in re.findall(r"`([a-z_]+)`", packages):
+                if package not in {"emulator", "lab", "cli"}:
+                    assert needs[package] <= listed, package
+
+
 def test_the_service_knows_nothing_of_the_lab() -> None:
     needs = needs_of_packages()
     above = {"cli", "lab", "emulator", "__main__"}
