--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -51,7 +51,7 @@
         load_report_row: Turns a server's load report into the columns that the settings name.
         counters: Counted by whoever sees the event.
         log: Written by whoever sees the event.
-        descriptor_limiter: Owned by this package; hot restart reads and writes what processes tell one another.
+        descriptor_limiter: Owned by this package; hot restart exchanges the figures of sibling processes through it.
         request_ids: Owned by this package: request readers register ids, sessions mark them as ended.
         established_sessions: By request id. Owned by this package: an attempt adds its session and removes it again;
             the session monitor, maintenance and management only read it.
--- a/stoatgw/emulator/virtual/attempt_model.py
+++ b/stoatgw/emulator/virtual/attempt_model.py
@@ -190,8 +190,9 @@
         """Schedules an action in the proxy's process, unless the attempt or the session is over by then."""
         generation = self._generation
 
-        def run() -> None:
+        def run_if_current() -> None:
+            """Drops what an attempt or a session that is over has scheduled."""
             if self._is_current(generation):
                 action()
 
-        self._scheduler.call_at(at_us, partial(self._proxy.loop.deliver, run))
+        self._scheduler.call_at(at_us, partial(self._proxy.loop.deliver, run_if_current))
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -2,7 +2,7 @@
 
 It goes through the stages of a session on sockets (connecting, sending, sent, established) and gives the controller the
 same values at the same points. What both do by the same rules is `stoatgw.clients.session_state`: whether an answer may
-be given, whether an attempt may start, how an interrupted attempt ends, and which ends the controller is told of.
+be given, whether an attempt may start, how an interrupted attempt ends, and which ends are reported to the controller.
 
 What follows `stoatgw.clients` and `stoatgw.backends.attempt` by hand, as the two sides have nothing in common there:
 
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -435,7 +435,7 @@
 
 
 def test_no_attempt_is_made_for_a_client_that_has_gone() -> None:
-    """Its line and its end are read before the owner's turn, as after a freeze: nothing may run for nobody."""
+    """Its line and its end are read before the controller runs, as after a freeze: nothing may run for nobody."""
 
     async def test(proxy: LoopbackProxy) -> None:
         held = list[Message]()
