--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -48,6 +48,22 @@
 class Attempt:
     """One attempt: `open`, then `relay` if it was established, then one of the ways to close."""
 
+    __slots__ = (
+        "_backend",
+        "_clock",
+        "_connect_timeout_us",
+        "_drain_grace_us",
+        "_last_keyword",
+        "_lines_after_up",
+        "_on_sent",
+        "_sock",
+        "_splitter",
+        "_to_load_report_row",
+        "established_data",
+        "stage",
+        "was_reset",
+    )
+
     def __init__(
         self,
         backend: Backend,
--- a/stoatgw/clients/attempt_runner.py
+++ b/stoatgw/clients/attempt_runner.py
@@ -48,6 +48,8 @@
     session has ended. Nobody else cancels the task.
     """
 
+    __slots__ = ("_last_begun", "_served", "_task")
+
     def __init__(self, served: ServedRequest) -> None:
         self._served = served
         self._task: asyncio.Task[None] | None = None
--- a/stoatgw/clients/relay.py
+++ b/stoatgw/clients/relay.py
@@ -27,6 +27,19 @@
     once UP is passed on. No data is copied or held back on the way: a slow reader on one side slows down the other.
     """
 
+    __slots__ = (
+        "_attempt",
+        "_class_name",
+        "_client_lines",
+        "_closer",
+        "_context",
+        "_early_data",
+        "_latency",
+        "_request_state",
+        "_sock",
+        "_state",
+    )
+
     def __init__(self, sock: socket.socket, context: ProxyContext, closer: SessionCloser, class_name: str) -> None:
         self._sock = sock
         self._context = context
--- a/stoatgw/clients/request_handler.py
+++ b/stoatgw/clients/request_handler.py
@@ -24,6 +24,8 @@
     `serve` runs in the task of the client's connection; the controller's task calls the others.
     """
 
+    __slots__ = ("_attempts", "_closer", "_context", "_relay", "_request", "_request_state", "_served")
+
     def __init__(
         self, sock: socket.socket, context: ProxyContext, request: SessionRequest, closer: SessionCloser
     ) -> None:
--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -24,6 +24,8 @@
 class RequestReader:
     """Reads one request; an `IdleConnection` of the descriptor limiter until it is complete."""
 
+    __slots__ = ("_context", "_has_received", "_is_answering_ping", "_is_expired", "_sock", "_splitter", "_wake_up")
+
     def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         self._sock = sock
         self._context = context
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -19,10 +19,12 @@
     Owns the connection's socket, its place in the descriptor limiter and its request id; `run` gives all of them back.
     """
 
+    __slots__ = ("_closer", "_context", "_handler", "_holds_descriptors", "_reader", "_request", "_sock")
+
     def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         self._sock = sock
         self._context = context
-        self._reader = RequestReader(sock, context)
+        self._reader: RequestReader | None = RequestReader(sock, context)  # until it has read the request
         context.descriptor_limiter.add_idle(self._reader)
         self._request: SessionRequest | None = None  # once it is accepted
         self._holds_descriptors = False
@@ -44,8 +46,7 @@
             self._release()
 
     async def _read_and_serve(self) -> None:
-        request = await self._reader.read_request()
-        self._context.descriptor_limiter.remove_idle(self._reader)
+        request = await self._read_request()
         if request is None:
             # BUSY: a request that crosses it on the way has its answer, and may be sent again.
             await reject_connection(self._context, self._sock, encode_busy(0))
@@ -57,6 +58,19 @@
             self._request = request
             await self._serve(request)
 
+    async def _read_request(self) -> SessionRequest | MalformedRequest | None:
+        if self._reader is None:
+            return None
+        request = await self._reader.read_request()
+        self._drop_reader()
+        return request
+
+    def _drop_reader(self) -> None:
+        """Ends the reader's place among the idle connections; not kept, as sessions are many and long."""
+        if self._reader is not None:
+            self._context.descriptor_limiter.remove_idle(self._reader)
+            self._reader = None
+
     async def _serve(self, request: SessionRequest) -> None:
         self._holds_descriptors = self._context.descriptor_limiter.acquire_request()
         if not self._holds_descriptors:
@@ -74,7 +88,7 @@
         tcp.close(self._sock)
         if self._closer is not None:
             self._closer.abort_attempt()
-        self._context.descriptor_limiter.remove_idle(self._reader)
+        self._drop_reader()
         if self._holds_descriptors:
             self._context.descriptor_limiter.release_request()
         if self._request is not None:
--- a/stoatgw/clients/session_end.py
+++ b/stoatgw/clients/session_end.py
@@ -41,6 +41,8 @@
         state: What has happened to the session so far; only `finish` ends it.
     """
 
+    __slots__ = ("_ended", "_half_closed_attempt", "_sock", "state")
+
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
         self.state = SessionState()
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -8,6 +8,8 @@
 class LineSplitter:
     """Gives complete lines without their CRLF, and keeps the rest for later."""
 
+    __slots__ = ("_buffer", "_max_line_bytes", "is_overlong")
+
     def __init__(self, max_line_bytes: int = MAX_LINE_BYTES) -> None:
         self._max_line_bytes = max_line_bytes
         self._buffer = bytearray()
