--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,24 +6,25 @@
 
 import pytest
 
-LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST = 3
+KNOWN_FAILURES_FILE = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
 
-def known() -> dict[str, str]:
+def known_failures() -> dict[str, str]:
     """Why each listed test fails; a line is `test: cause (issue)`."""
-    lines = [line for line in LIST.read_text().splitlines() if line.strip()] if LIST.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} lines, {MOST} at the most")
+    text = KNOWN_FAILURES_FILE.read_text() if KNOWN_FAILURES_FILE.exists() else ""
+    lines = [line for line in text.splitlines() if line.strip()]
+    if len(lines) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(f"KNOWN-RED.txt: {len(lines)} lines, {MAX_KNOWN_FAILURES} at the most")
     return dict(line.split(": ", 1) for line in lines)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     for item in items:
-        if item.nodeid in known():
-            item.add_marker(pytest.mark.xfail(strict=True, reason=known()[item.nodeid]))
+        if item.nodeid in known_failures():
+            item.add_marker(pytest.mark.xfail(strict=True, reason=known_failures()[item.nodeid]))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for test, why in known().items():
+    for test, why in known_failures().items():
         terminalreporter.write_line(f"known red: {test}: {why}")
