--- a/stoatgw/controller/attempts.py
+++ b/stoatgw/controller/attempts.py
@@ -23,7 +23,7 @@
 )
 from stoatgw.telemetry.counters import Counters
 
-RETRY_GUARD_US = 20_000  # a retry sends its line so long before its key's lifetime ends, at the latest
+KEY_EXPIRY_MARGIN_US = 20_000  # a retry sends its line so long before its key's lifetime ends, at the latest
 
 
 class AttemptTracker:
@@ -59,7 +59,7 @@
         self._counters.add("attempts")
         request_class = self._requests.class_of(state)
         if state.first_run_us is not None and request_class.idempotency is Idempotency.DEDUP:
-            state.retry_before_us = max(1, state.first_run_us + request_class.key_ttl_us - RETRY_GUARD_US)
+            state.retry_before_us = max(1, state.first_run_us + request_class.key_ttl_us - KEY_EXPIRY_MARGIN_US)
         state.handler.start_attempt(number, action.server, deadline_us)
 
     def perform_cancel(self, action: Cancel) -> None:
@@ -118,7 +118,7 @@
         )
         if is_final:
             state.is_answered = True
-            self._requests.forget(state)
+            self._requests.remove_if_complete(state)
         self._decisions.notify(outcome)
         if state.is_orphaned and not state.is_answered:
             self._requests.fail(state, AnswerReason.POLICY_CRASHED)
--- a/stoatgw/controller/requests.py
+++ b/stoatgw/controller/requests.py
@@ -49,10 +49,10 @@
         return self._states.get(request_id)
 
     def add(self, state: RequestState) -> None:
-        """Adds a request, until `forget`."""
+        """Adds a request, until `remove_if_complete`."""
         self._states[state.request.request_id] = state
 
-    def forget(self, state: RequestState) -> None:
+    def remove_if_complete(self, state: RequestState) -> None:
         """Drops a request once no answer is owed and no attempt is in flight; until then does nothing."""
         if state.is_answered and state.active_attempt is None:
             self._states.pop(state.request.request_id, None)
@@ -97,7 +97,7 @@
         state.mark_answered()
         if state.request.request_id in self._states:
             self._notify_disconnected(state)
-            self.forget(state)
+            self.remove_if_complete(state)
 
     def handle_timed_out(self, message: RequestTimedOut) -> None:
         """Answers a request whose deadline has passed, whatever the policy does."""
@@ -129,7 +129,7 @@
         state.mark_answered()
         self._counters.add("requests_rejected")
         state.handler.reject(retry_after_us)
-        self.forget(state)
+        self.remove_if_complete(state)
 
     def fail(self, state: RequestState, reason: AnswerReason) -> None:
         """Answers that the request failed and may have run."""
@@ -137,7 +137,7 @@
         state.mark_answered()
         self._counters.add("requests_failed")
         state.handler.fail()
-        self.forget(state)
+        self.remove_if_complete(state)
 
     def answer_all_unserved(self) -> None:
         """Answers all requests that wait; their attempts in flight are left to end."""
--- a/stoatgw/rebalance/limits.py
+++ b/stoatgw/rebalance/limits.py
@@ -28,11 +28,11 @@
         max_migrations_per_group: Migrations of one group in a step; `per_group` in the file.
         max_migrations_in_flight: Migrated clients that may not have returned yet; `under_way` in the file.
         min_remigration_interval_us: A client is not migrated twice within it; `again_us` in the file.
-        return_time_us: How long a migrated client counts as not returned; `back_us` in the file.
+        reconnect_window_us: How long a migrated client counts as not returned; `back_us` in the file.
         max_report_age_us: A server with an older report is neither source nor target; `fresh_us` in the file.
         migration_cost_s: Cost of a migration, in seconds of the session's priority weight; `cost_s` in the file.
         gain_horizon_s: How long a gain is taken to last; `horizon_s` in the file.
-        latency_sharpness: Latency objective over a message's work: how steeply messages get late near capacity;
+        latency_objective_ratio: Latency objective over a message's work: how steeply messages get late near capacity;
             `sharpness` in the file.
         excess_fraction: Fraction of the excess load that all proxies together migrate in a step; `part` in the file.
     """
@@ -47,9 +47,9 @@
     max_migrations_per_group: Count = msgspec.field(default=1, name="per_group")
     max_migrations_in_flight: Count = msgspec.field(default=6, name="under_way")
     min_remigration_interval_us: DurationUs = msgspec.field(default=60_000_000, name="again_us")
-    return_time_us: DurationUs = msgspec.field(default=1_500_000, name="back_us")
+    reconnect_window_us: DurationUs = msgspec.field(default=1_500_000, name="back_us")
     max_report_age_us: DurationUs = msgspec.field(default=2_500_000, name="fresh_us")
     migration_cost_s: Positive = msgspec.field(default=1.2, name="cost_s")
     gain_horizon_s: Positive = msgspec.field(default=25.0, name="horizon_s")
-    latency_sharpness: Positive = msgspec.field(default=12.0, name="sharpness")
+    latency_objective_ratio: Positive = msgspec.field(default=12.0, name="sharpness")
     excess_fraction: OpenFraction = msgspec.field(default=0.5, name="part")
--- a/stoatgw/rebalance/planner.py
+++ b/stoatgw/rebalance/planner.py
@@ -90,7 +90,7 @@
         step_s = limits.step_interval_us / 1e6
         refilled = self._allowance + limits.migration_rate * own_sessions * step_s
         self._allowance = min(max(1.0, limits.migration_rate * own_sessions), refilled)
-        returning_since_us = fleet.now_us - limits.return_time_us
+        returning_since_us = fleet.now_us - limits.reconnect_window_us
         in_flight = sum(1 for at_us in self._migrated_at_us.values() if at_us > returning_since_us)
         return min(int(self._allowance), limits.max_migrations_in_flight - in_flight)
 
@@ -184,4 +184,4 @@
     def _timeliness(self, load: float) -> float:
         """Fraction of messages in time at a load, as the emulator's and the bench's servers have it."""
         headroom = 1.0 - min(MAX_MODELLED_LOAD, max(0.0, load))
-        return 1.0 - math.exp(-self._limits.latency_sharpness * headroom)
+        return 1.0 - math.exp(-self._limits.latency_objective_ratio * headroom)
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -133,7 +133,7 @@
     def keep(self: RequestTable, request: RequestState) -> None:
         pass
 
-    monkeypatch.setattr(RequestTable, "forget", keep)
+    monkeypatch.setattr(RequestTable, "remove_if_complete", keep)
     assert Rule.NO_LEAKED_REQUEST in rules_broken("calm")
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 from stoatgw.backends.backend import Backend
 from stoatgw.clients.descriptor_limiter import RESERVED_DESCRIPTORS, DescriptorLimiter
 from stoatgw.clock import Clock
-from stoatgw.controller.attempts import RETRY_GUARD_US
+from stoatgw.controller.attempts import KEY_EXPIRY_MARGIN_US
 from stoatgw.controller.messages import (
     AttemptEnd,
     AttemptEnded,
@@ -188,7 +188,7 @@
 def test_a_retry_of_a_dedup_request_has_to_begin_within_its_window() -> None:
     state, _ = run_request(settings_with(Idempotency.DEDUP), AttemptStatus.DROPPED)
     assert state.first_run_us is not None
-    assert state.retry_before_us == state.first_run_us + 500_000 - RETRY_GUARD_US
+    assert state.retry_before_us == state.first_run_us + 500_000 - KEY_EXPIRY_MARGIN_US
 
 
 def test_a_dedup_request_whose_first_attempt_never_ran_has_no_window() -> None:
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -152,7 +152,7 @@
         for name in by_name:
             assert sources.count(name) <= LIMITS.max_migrations_per_server
             assert targets.count(name) <= LIMITS.max_migrations_per_server
-        in_flight = sum(at_us > self.now_us - LIMITS.return_time_us for _, at_us in self.migrated)
+        in_flight = sum(at_us > self.now_us - LIMITS.reconnect_window_us for _, at_us in self.migrated)
         assert in_flight <= LIMITS.max_migrations_in_flight
         assert len(migrations) <= max(1, LIMITS.migration_rate * 12 * len(servers))
 
