--- a/stoatgw/controller/reasons.py
+++ b/stoatgw/controller/reasons.py
@@ -1,4 +1,4 @@
-"""Why the controller gives an answer or migrates a session: texts for the log, on which nothing is decided."""
+"""Reasons for final answers and migrations, as the log's `why` field gives them. No code depends on the texts."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class AnswerReason(Enum):
-    """Why a request was rejected or failed, as the log has it."""
+    """The reason why a request was rejected or failed."""
 
-    POLICY = "no server was admitted"
-    DRAINING = "the proxy drains"
-    DEADLINE = "its deadline has passed"
-    DRAIN_ADMISSION_ENDED = "it waited as the drain stopped admitting"
-    POLICY_CRASHED = "the decisions crashed"
-    RESTORE_FAILED = "its session could not be restored"
+    POLICY = "the balancer selected no session server"
+    DRAINING = "the proxy is draining"
+    DEADLINE = "the deadline of the request has passed"
+    DRAIN_ADMISSION_ENDED = "the drain stopped admitting requests before the session was established"
+    POLICY_CRASHED = "the decision policy raised an exception"
+    RESTORE_FAILED = "the session could not be restored"
 
 
 class MigrationReason(Enum):
-    """Why an established session is migrated, as the log has it."""
+    """The reason why an established session is migrated."""
 
-    DRAIN = "the proxy drains"
-    SERVER_SUSPENDED = "its server is suspended"
-    POLICY = "the load is moved elsewhere"
-    SERVER_UNRESPONSIVE = "its server answers nothing"
+    DRAIN = "the proxy is draining"
+    SERVER_SUSPENDED = "the session server is suspended"
+    POLICY = "the balancer moves load to another session server"
+    SERVER_UNRESPONSIVE = "the session server does not respond"
