--- a/stoatgw/controller/__init__.py
+++ b/stoatgw/controller/__init__.py
@@ -1,6 +1,7 @@
-"""The one task that owns the decision policy and the state of all requests, and what it is made of.
+"""The controller task, which owns the decision policy and the state of all requests.
 
-It promises one final answer for each request it took, also when the policy fails, and never two attempts of a request
-at once. All else posts messages to its queue and is called back through protocols: lines, sockets and endpoint lists
-are left to `clients`, `backends` and `discovery`, the choice of servers to `decisions`.
+Each accepted request gets exactly one final answer, even if the policy raises an exception, and has at most one attempt
+in flight. Other tasks post messages to the controller's queue, and the controller calls them back through protocols.
+The line protocol, sockets and endpoint lists belong to `clients`, `backends` and `discovery`, the selection of servers
+to `decisions`.
 """
--- a/stoatgw/controller/actions.py
+++ b/stoatgw/controller/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the actions of the decision policy."""
+"""Executes the actions of the decision policy."""
 
 from __future__ import annotations
 
@@ -28,25 +28,25 @@
 
 
 class BackendGateway(Protocol):
-    """The session servers and discovery, as the policy's actions use them."""
+    """Access to the session servers and discovery, for the policy's actions."""
 
     def check_health(self, server: str) -> None:
-        """Starts a health check; its end is posted as `HealthCheckCompleted`."""
+        """Start a health check; its result is posted as `HealthCheckCompleted`."""
         ...
 
     def close_idle(self, server: str) -> None:
-        """Closes the idle health check connection to a server, if there is one."""
+        """Close the idle health check connection to a server, if there is one."""
         ...
 
     def fetch_endpoints(self) -> None:
-        """Has the full endpoint list posted as `EndpointsUpdated`."""
+        """Request the full endpoint list, which is posted as `EndpointsUpdated`."""
         ...
 
 
 class ActionExecutor:
-    """Hands each action to the part that carries it out.
+    """Dispatches each action to the component that executes it.
 
-    Called from the controller's task only. Actions for backends are dropped until `connect`.
+    Called from the controller's task only. Actions that need the gateway are dropped until `connect` is called.
     """
 
     def __init__(
@@ -70,16 +70,16 @@
             CloseIdle: self._close_idle,
             FetchEndpoints: self._fetch_endpoints,
             Log: self._write_log,
-            Subscribe: self._ignore,  # the endpoint list is watched all the time
-            Gossip: self._ignore,  # proxies share nothing
+            Subscribe: self._ignore,  # discovery always watches the endpoint list
+            Gossip: self._ignore,  # proxies exchange no messages of the policy
         }
 
     def connect(self, gateway: BackendGateway) -> None:
-        """Sets the way to the backends."""
+        """Set the gateway to the session servers and discovery."""
         self._gateway = gateway
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Carries out the actions in order."""
+        """Execute the actions in order."""
         for action in actions:
             self._performers[type(action)](action)
 
--- a/stoatgw/controller/attempts.py
+++ b/stoatgw/controller/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of the requests: one at a time for each, from its start over an established session to its end."""
+"""Attempts, at most one in flight for each request: their start, the established session and their end."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 )
 from stoatgw.telemetry.counters import Counters
 
-KEY_EXPIRY_MARGIN_US = 20_000  # a retry sends its line so long before its key's lifetime ends, at the latest
+KEY_EXPIRY_MARGIN_US = 20_000  # a retry is sent at least this long before its idempotency key expires
 
 
 class AttemptTracker:
-    """Starts and cancels attempts for the policy and notifies it of what becomes of them.
+    """Starts and cancels attempts for the policy and notifies it of their progress and outcome.
 
     Called from the controller's task only.
     """
@@ -43,13 +43,13 @@
     # Actions of the policy.
 
     def perform_send(self, action: Send) -> None:
-        """Starts an attempt, cut at the client's deadline; one that may not start has the outcome `UNUSED`."""
+        """Start an attempt, its deadline capped at the client's; one that is not allowed has the outcome `UNUSED`."""
         state = self._requests.get(action.request_id)
         if state is None:
             return
         number = state.attempts
         if state.is_answered or state.active_attempt is not None or number >= self._settings.max_attempts:
-            # Never two at once, and none for a request that has its answer.
+            # At most one attempt in flight, and none for a request that is answered.
             self._decisions.notify(
                 AttemptOutcome(action.request_id, number, action.server, AttemptStatus.UNUSED, 0, state.is_answered)
             )
@@ -63,7 +63,7 @@
         state.handler.start_attempt(number, action.server, deadline_us)
 
     def perform_cancel(self, action: Cancel) -> None:
-        """Cancels an attempt that is still being set up."""
+        """Cancel an attempt that is not established yet."""
         state = self._requests.get(action.request_id)
         if state is not None and state.active_attempt == action.attempt and not state.is_established:
             state.handler.cancel_attempt(action.attempt)
@@ -71,7 +71,7 @@
     # Messages.
 
     def handle_restored(self, message: SessionRestored) -> None:
-        """Adds a session that was established before this process started."""
+        """Add a session that was established before this process started."""
         state = message.state
         self._requests.add(state)
         state.is_established = True
@@ -80,10 +80,10 @@
         self._decisions.notify(interface.SessionRestored(state.request, message.server))
 
     def handle_established(self, message: AttemptEstablished) -> bool:
-        """Records that an attempt is established, which is the request's answer.
+        """Record that an attempt is established, which is the request's final answer.
 
         Returns:
-            Whether it is the attempt in flight; nothing is done for another one.
+            Whether it is the attempt in flight; any other attempt is ignored.
         """
         state = message.state
         if state.active_attempt != message.attempt:
@@ -97,7 +97,7 @@
         return True
 
     def handle_ended(self, message: AttemptEnded) -> None:
-        """Records the end of the attempt in flight; a second report of an end does nothing."""
+        """Record the end of the attempt in flight; the end of any other attempt, or a repeated one, is ignored."""
         state = message.state
         end = message.end
         if state.active_attempt != message.attempt:
@@ -124,7 +124,7 @@
             self._requests.fail(state, AnswerReason.POLICY_CRASHED)
 
     def handle_metric(self, message: SessionMetricObserved) -> None:
-        """Notifies the policy of what was observed on an established session."""
+        """Notify the policy of a metric of an established session."""
         state = message.state
         if state.is_established and state.active_attempt is not None:
             self._decisions.notify(
--- a/stoatgw/controller/controller.py
+++ b/stoatgw/controller/controller.py
@@ -1,7 +1,7 @@
-"""The controller: the one task that owns the decision policy and all request state, reached through its queue.
+"""The controller: the one task that owns the decision policy and all request state, and reads messages from a queue.
 
-It does for the policy what the simulator does there: numbers attempts, cuts their deadlines at the client's, says which
-outcome is final, and has the policy's actions carried out.
+It does for the policy what the simulator does in simulations: it numbers attempts, caps their deadlines at the
+client's, marks final outcomes, and has the policy's actions executed.
 """
 
 from __future__ import annotations
@@ -49,10 +49,10 @@
 
 
 class Controller:
-    """Accepts messages from all tasks of the proxy and handles them in one.
+    """Receives messages from all tasks of the proxy and handles them in one task.
 
-    `start` is called once, before `run`. Other tasks only post messages and read counts; they do not wait for what the
-    controller does.
+    `start` is called once, before `run`. Other tasks only post messages and read state; they do not wait until a
+    message is handled.
     """
 
     def __init__(
@@ -100,31 +100,31 @@
             RebalanceDue: self._rebalancing.handle_due,
         }
 
-    # From any task.
+    # Called from any task.
 
     def post(self, message: Message) -> None:
-        """Queues a message; returns at once."""
+        """Queue a message, without blocking."""
         self._queue.append(message)
         self._has_messages.set()
 
     @property
     def open_requests(self) -> int:
-        """How many requests are known; none may be left once their clients have gone."""
+        """The number of requests with state; 0 once all clients have disconnected, unless there is a leak."""
         return len(self._requests)
 
     def avoided_servers(self) -> list[str]:
-        """Returns the listed servers that the policy avoids now, without waiting for the queue."""
+        """Return the listed servers that the policy avoids now, without waiting for queued messages."""
         policy = self._decisions.migrating_policy
         return policy.avoided_servers(self._clock.now_us()) if policy is not None else []
 
     def connections_to(self, server: str) -> int:
-        """Counts the connections of this proxy to a server, established or being set up."""
+        """Return the number of connections of this proxy to a server, established or being set up."""
         return self._requests.connections_to(server)
 
-    # The controller's task.
+    # Called from the controller's task.
 
     def start(self, gateway: BackendGateway, migration_planner: MigrationPlanner | None = None) -> None:
-        """Starts the policy, and rebalancing where there is a planner for it."""
+        """Start the policy, and rebalancing if there is a planner."""
         self._actions.connect(gateway)
         self._decisions.now_us = self._clock.now_us()
         self._decisions.start()
@@ -132,23 +132,23 @@
             self._rebalancing.start(migration_planner)
 
     async def run(self) -> None:
-        """Handles messages until the task is cancelled, which it can be only while it waits for messages."""
+        """Handle messages until the task is cancelled, which takes effect only while it waits for messages."""
         while True:
             await self._has_messages.wait()
             self._has_messages.clear()
-            # All messages queued by now are one batch at one time, as in the simulator.
+            # All messages queued so far form one batch with one timestamp, as in the simulator.
             self._decisions.now_us = self._clock.now_us()
             for _ in range(len(self._queue)):
                 self._handle(self._queue.popleft())
 
     def _handle(self, message: Message) -> None:
-        """Handles a message; a fault costs this message only."""
+        """Handle a message; an exception affects this message only."""
         try:
             self._handlers[type(message)](message)
         except Exception as error:
             try:
                 self._recovery.recover(error)
-            except Exception as second_error:  # the new policy fails too: the queue goes on
+            except Exception as second_error:  # the new policy failed too: continue with the next message
                 self._log.event("recovery_failed", error=repr(second_error))
 
     def _handle_session_restored(self, message: SessionRestored) -> None:
--- a/stoatgw/controller/decision_runner.py
+++ b/stoatgw/controller/decision_runner.py
@@ -1,4 +1,4 @@
-"""Runs the decision policy: hands it events, has its actions carried out, replaces it after a fault."""
+"""Runs the decision policy: passes events to it, has its actions executed, and replaces it after an exception."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 
 class ActionPerformer(Protocol):
-    """Carries out what the policy decided."""
+    """Executes the actions of the policy."""
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Carries out the actions in order."""
+        """Execute the actions in order."""
         ...
 
 
 class DecisionRunner:
-    """The policy in use and the time at which it decides.
+    """Holds the current policy and the time of its decisions.
 
     Called from the controller's task only. `attach` is called before the first event.
 
     Attributes:
-        now_us: The time of the batch of messages in hand; all its events reach the policy at this time.
+        now_us: The time of the current batch of messages; all events of the batch are handled at this time.
     """
 
     def __init__(self, settings: Settings, seed: int, make_policy: PolicyFactory) -> None:
@@ -35,27 +35,27 @@
         self.now_us = 0
 
     def attach(self, performer: ActionPerformer) -> None:
-        """Sets who carries out the actions."""
+        """Set the performer that executes the actions."""
         self._performer = performer
 
     @property
     def migrating_policy(self) -> MigratingPolicy | None:
-        """The policy in use if it can migrate sessions and report on servers, else None."""
+        """The current policy if it can migrate sessions and estimate servers, else None."""
         return self._policy if isinstance(self._policy, MigratingPolicy) else None
 
     def start(self) -> None:
-        """Starts the policy."""
+        """Start the policy."""
         self.perform(self._policy.start(self.now_us))
 
     def notify(self, event: Event) -> None:
-        """Hands an event to the policy and has the actions that follow from it carried out."""
+        """Pass an event to the policy and execute the actions that it returns."""
         self._performer.perform(self._policy.handle(event, self.now_us))
 
     def perform(self, actions: Iterable[Action]) -> None:
-        """Has actions carried out that the policy returned to somebody else."""
+        """Execute actions that the policy returned to another caller."""
         self._performer.perform(actions)
 
     def replace_policy(self) -> None:
-        """Puts a new policy, with the next seed, in the place of one that failed; `start` is left to the caller."""
+        """Replace a policy that failed by a new one with the next seed; the caller calls `start`."""
         self._seed += 1
         self._policy = self._make_policy(self._settings, self._seed)
--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -1,7 +1,8 @@
-"""The messages of the controller's queue, and the values that they carry. No line protocol, no sockets.
+"""The messages of the controller's queue and the values that they carry, without line protocol and sockets.
 
 Events of the decision policy with the same names (`SessionRestored`, `AttemptEstablished`, `ClientDisconnected`) are
-written `interface.X` in this package: a message carries the state of its request, an event only what policies read.
+written `interface.X` in this package: a message refers to the state of its request, an event contains only the fields
+that policies read.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class AttemptStage(Enum):
-    """How far an attempt got; it decides whether the request may have run."""
+    """The stage that an attempt reached; it determines whether the request may have run on the server."""
 
     CONNECTING = "connecting"
     SENDING = "sending"
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt ended, as a value: its status, how far it got, and why."""
+    """The end of an attempt: its status, the stage that it reached, the reason, and the server's load report if any."""
 
     status: AttemptStatus
     stage: AttemptStage
@@ -37,50 +38,50 @@
 class RequestHandler(Protocol):
     """The client's side of a request, called from the controller's task.
 
-    No call may block; an exception counts as a fault of the policy.
+    No call may block; an exception is handled like one of the policy.
     """
 
     def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
-        """Starts an attempt; `AttemptEnded` is posted for it, once, `AttemptEstablished` at most once before."""
+        """Start an attempt; `AttemptEnded` is posted for it exactly once, `AttemptEstablished` at most once before."""
         ...
 
     def cancel_attempt(self, number: int) -> None:
-        """Cancels an attempt in flight; its end is posted all the same."""
+        """Cancel an attempt in flight; `AttemptEnded` is still posted for it."""
         ...
 
     def reject(self, retry_after_us: int) -> None:
-        """Answers that the request was rejected; `retry_after_us` 0 gives no advice."""
+        """Answer that the request was rejected; `retry_after_us` 0 advises no delay."""
         ...
 
     def fail(self) -> None:
-        """Answers that the request failed."""
+        """Answer that the request failed."""
         ...
 
     def migrate(self) -> None:
-        """Closes the established session cleanly, so that its client reconnects elsewhere."""
+        """Close the established session cleanly, so that its client reconnects to another server."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """A client's request and what became of it so far; only the controller's task changes it.
+    """A client's request and its progress; only the controller's task changes it.
 
     Attributes:
-        request: The request as the policy reads it.
-        deadline_us: When its client stops waiting for an answer.
-        handler: The client's side.
-        attempts: How many attempts were started; the next one has this number.
-        active_attempt: The number of the attempt in flight or established, if there is one.
+        request: The request as passed to the policy.
+        deadline_us: When the client stops waiting for an answer.
+        handler: The client's side of the request.
+        attempts: The number of attempts started, which is also the number of the next one.
+        active_attempt: The number of the attempt in flight or established; None if there is none.
         server: The server of the last attempt.
         sent_us: When the last attempt was started.
-        first_run_us: When the first attempt that may have run was started.
-        retry_before_us: The next attempt sends no line later than that; 0: at any time.
-        is_established: An attempt was established.
-        is_answered: The final answer is given, or nobody waits for it.
-        is_orphaned: A policy that failed took all knowledge of it away.
-        timeout_handle: Posts `RequestTimedOut` at the deadline.
-        answer_reason: Why it was rejected or failed; set before the handler is asked to answer, for the log.
-        migration_reason: Why its session migrates; set before the handler is asked to migrate it, for the log.
+        first_run_us: When the first attempt that may have run on a server was started; None if there is none.
+        retry_before_us: The latest time at which a retry may be sent; 0: no limit.
+        is_established: Whether an attempt was established.
+        is_answered: Whether the final answer was sent, or the client no longer waits for it.
+        is_orphaned: Whether the policy that knew this request failed and was replaced.
+        timeout_handle: The timer that posts `RequestTimedOut` at the deadline.
+        answer_reason: Why the request was rejected or failed, for the log; set before the handler is called.
+        migration_reason: Why the session migrates, for the log; set before the handler is called.
     """
 
     request: Request
@@ -100,31 +101,31 @@
     migration_reason: MigrationReason | None = None
 
     def begin_attempt(self, server: str, now_us: int) -> None:
-        """Counts an attempt as started now."""
+        """Record that an attempt starts now."""
         self.active_attempt = self.attempts
         self.attempts += 1
         self.server = server
         self.sent_us = now_us
 
     def mark_answered(self) -> None:
-        """Records that the final answer is given, or that nobody waits for it any more."""
+        """Record that the final answer was sent, or that the client no longer waits for it."""
         self.is_answered = True
         if self.timeout_handle is not None:
-            # Left to fire, it would keep the request in memory and wake the controller for nothing.
+            # Until it fired, the timer would keep the request in memory, and then wake the controller needlessly.
             self.timeout_handle.cancel()
             self.timeout_handle = None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client asks for a session. Posted by the task of its connection, once."""
+    """A client requests a session. Posted once, by the task of its connection."""
 
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class SessionRestored:
-    """A session of an earlier process is connected to its server again. Posted by the task of the attempt."""
+    """A session of an earlier process is reconnected to its server. Posted by the task of the attempt."""
 
     state: RequestState
     server: str
@@ -140,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt, established or not, is over. Posted by its task; by the event loop if the task never ran."""
+    """An attempt, established or not, ended. Posted by its task, or by the event loop if the task never ran."""
 
     state: RequestState
     attempt: int
@@ -149,16 +150,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """Nobody waits for the answer, or uses the session, any more. Posted by the task of the client's connection."""
+    """The client no longer waits for its answer or uses its session. Posted by the task of its connection."""
 
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class SessionMetricObserved:
-    """The load of an established session, or the latency of its messages.
+    """A metric of an established session: its load, or the latency of its messages.
 
-    Posted by the task of the attempt, which reads load from the server's lines, and by the listener's latency monitor.
+    Posted by the task of the attempt, which reads the load from the server's lines, and by the listener's latency
+    monitor.
     """
 
     state: RequestState
@@ -168,14 +170,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsUpdated:
-    """The endpoint list, or what changed in it. Posted by the discovery client: its own task, or whoever calls it."""
+    """The endpoint list or a change of it. Posted by the discovery client, from its own task or from its caller's."""
 
     update: EndpointUpdate
 
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckCompleted:
-    """A health check ended. Posted by the task of the check, or by the task that receives the results of peers."""
+    """A health check ended. Posted by its task, or by the task that receives the results of other proxies."""
 
     server: str
     status: AttemptStatus
@@ -193,21 +195,22 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTimedOut:
-    """The client's deadline has passed: an answer is owed now, whatever the policy does. Posted by the event loop."""
+    """The client's deadline has passed: it is answered now, whatever the policy does. Posted by the event loop."""
 
     state: RequestState
 
 
 @dataclass(frozen=True, slots=True)
 class BeginDrain:
-    """The proxy is to lose all its clients: once no new ones connect, their sessions migrate one by one.
+    """The proxy drains: once new clients are no longer routed to it, its sessions migrate one by one.
 
     Posted by the main task on SIGTERM, by the management API's task for an operator, and by the maintenance task.
 
     Attributes:
-        accept_window_us: New clients are routed here for so long.
-        migration_window_us: The sessions migrate over so long after that.
-        admission_window_us: Requests are served for so long, and migrated then; 0: they are rejected at once.
+        accept_window_us: How long new clients are still routed to this proxy.
+        migration_window_us: The time after that over which the migrations are spread.
+        admission_window_us: How long new requests are still served, whose sessions then migrate too; 0: new requests
+            are rejected at once.
     """
 
     accept_window_us: int
@@ -217,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainAdmissionEnded:
-    """The admission window of a drain is over: who waits is answered now. Posted by the event loop."""
+    """The admission window of a drain is over: waiting requests are answered. Posted by the event loop."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -230,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelDrain:
-    """The drain is cancelled: no further session migrates, requests are admitted.
+    """The drain is cancelled: no further sessions migrate, and requests are admitted.
 
     Posted by the management API's task and by the maintenance task.
     """
@@ -238,15 +241,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuateServer:
-    """A server was suspended, and its sessions migrate one by one; or it was resumed, and no more of them do.
+    """A server was suspended, and its sessions migrate one by one; or it was resumed, and no further ones migrate.
 
-    Posted by whoever applies suspensions: the management API's task, the task that polls their file, and the
-    maintenance task.
+    Posted by the tasks that apply suspensions: the management API's task, the task that polls the suspension file,
+    and the maintenance task.
 
     Attributes:
         server: The server's name.
-        is_suspended: Whether it was suspended, not resumed.
-        migration_window_us: The sessions migrate within so long.
+        is_suspended: Whether it was suspended; False: it was resumed.
+        migration_window_us: The time over which the migrations are spread.
     """
 
     server: str
@@ -256,7 +259,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RebalanceDue:
-    """The next step of rebalancing is due. Posted by the event loop."""
+    """The next rebalancing step is due. Posted by the event loop."""
 
 
 Message = (
@@ -280,8 +283,8 @@
 
 
 class MessageQueue(Protocol):
-    """Where messages go: the controller, or what passes them on to it."""
+    """The controller, or an object that forwards messages to it."""
 
     def post(self, message: Message) -> None:
-        """Queues a message; returns at once."""
+        """Queue a message, without blocking."""
         ...
--- a/stoatgw/controller/migrations.py
+++ b/stoatgw/controller/migrations.py
@@ -1,4 +1,4 @@
-"""When established sessions are migrated: in a drain, off suspended servers, and towards an even load."""
+"""Migration of established sessions: in a drain, away from suspended servers, and for rebalancing."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class SessionMigrator:
-    """Migrates sessions in drains and off suspended servers, each at its own time.
+    """Migrates sessions in drains and away from suspended servers, each at its scheduled time.
 
     Called from the controller's task only.
     """
@@ -49,23 +49,23 @@
     # Drain.
 
     def handle_begin_drain(self, message: BeginDrain) -> None:
-        """Begins a drain: requests that wait are answered now or when admission ends, and all sessions migrate."""
+        """Begin a drain: waiting requests are answered now or when admission ends, and all sessions migrate."""
         self._cancel_drain_timers()
         self._drain.begin(message, self._decisions.now_us)
         sessions = list(self._requests.established())
         if message.admission_window_us:
             self._drain_timers.append(post_later(self._queue, message.admission_window_us / 1e6, DrainAdmissionEnded()))
         else:
-            self._requests.answer_all_unserved()
+            self._requests.answer_all_waiting()
         for state, delay_s in zip(sessions, self._drain.migration_delays_s(len(sessions)), strict=True):
             self._drain_timers.append(post_later(self._queue, delay_s, MigrateSession(state, MigrationReason.DRAIN)))
 
     def handle_admission_ended(self, _message: DrainAdmissionEnded) -> None:
-        """Answers the requests that still wait."""
-        self._requests.answer_all_unserved()
+        """Answer the requests that are still waiting."""
+        self._requests.answer_all_waiting()
 
     def handle_cancel_drain(self, _message: CancelDrain) -> None:
-        """Ends the drain: sessions that have not been migrated stay."""
+        """Cancel the drain; sessions that have not migrated yet remain."""
         self._cancel_drain_timers()
         self._drain.cancel()
 
@@ -77,9 +77,9 @@
     # Suspended servers.
 
     def handle_evacuate_server(self, message: EvacuateServer) -> None:
-        """Migrates the sessions off a server that was suspended, one after the other, or stops doing so.
+        """Schedule the migrations away from a suspended server, one after another, or cancel them once it is resumed.
 
-        The endpoint list does not tell the server to drain, so that its restart would cut them off.
+        The endpoint list does not show the server as draining, so its restart would break the sessions.
         """
         for timer in self._evacuation_timers.pop(message.server, []):
             timer.cancel()
@@ -99,13 +99,13 @@
     # Single sessions.
 
     def handle_migrate_session(self, message: MigrateSession) -> None:
-        """Migrates a session that is due in a drain or an evacuation, if it is still established."""
+        """Migrate a session that is due in a drain or an evacuation, if it is still established."""
         state = message.state
         if state.is_established and state.active_attempt is not None:
             self._migrate(state, message.reason)
 
     def on_established(self, state: RequestState) -> None:
-        """Sees to a new session that has to migrate soon: in a drain, or where its server was suspended meanwhile."""
+        """Migrate or schedule a new session if the proxy is draining or its server was suspended in the meantime."""
         if self._drain.is_draining:
             delay_s = self._drain.next_late_migration_delay_s(self._decisions.now_us)
             if delay_s > 0:
@@ -118,7 +118,7 @@
             self._migrate(state, MigrationReason.SERVER_SUSPENDED)
 
     def perform_migrate(self, action: Migrate) -> None:
-        """Migrates a session for the policy, or for a plan of rebalancing that the policy has recorded."""
+        """Migrate a session for the policy, or for a rebalancing plan whose migration the policy has recorded."""
         state = self._requests.get(action.request_id)
         if state is not None and state.is_established:
             self._counters.add("migrations")
@@ -126,10 +126,10 @@
             state.handler.migrate()
 
     def _migrate(self, state: RequestState, reason: MigrationReason) -> None:
-        """Migrates a session after the policy has recorded it.
+        """Migrate a session after the policy has recorded the migration.
 
-        Otherwise the policy would mistake the drain of its own proxy for a fault of the servers, and avoid them all for
-        seconds after the drain is cancelled.
+        Otherwise the policy would take the ended sessions of this proxy's drain for faults of the servers, and avoid
+        all servers for seconds after the drain is cancelled.
         """
         policy = self._decisions.migrating_policy
         if policy is not None:
@@ -139,17 +139,21 @@
 
 
 class MigrationPlanner(Protocol):
-    """Plans migrations of established sessions, where the operators' file asks for rebalancing."""
+    """Plans migrations of established sessions; used only if the operators' file enables rebalancing.
+
+    Attributes:
+        interval_us: The time between two steps.
+    """
 
     interval_us: int
 
     def plan(self, estimates: list[ServerEstimate], now_us: int) -> list[str]:
-        """Returns the ids of the requests to migrate in this step, in order."""
+        """Return the ids of the requests whose sessions migrate in this step, in order."""
         ...
 
 
 class RebalanceLoop:
-    """Has a planner migrate sessions towards an even load, step by step, until a drain begins.
+    """Runs a planner at an interval and migrates the sessions that it selects, until a drain begins.
 
     Called from the controller's task only.
     """
@@ -164,12 +168,12 @@
         self._planner: MigrationPlanner | None = None
 
     def start(self, planner: MigrationPlanner) -> None:
-        """Schedules the first step."""
+        """Schedule the first step."""
         self._planner = planner
         self._schedule_step(planner)
 
     def handle_due(self, _message: RebalanceDue) -> None:
-        """Carries out one step and schedules the next one first, so that a fault ends this step only."""
+        """Execute one step; the next one is scheduled first, so that an exception ends this step only."""
         planner = self._planner
         if planner is None or self._drain.is_draining:
             return
--- a/stoatgw/controller/policy.py
+++ b/stoatgw/controller/policy.py
@@ -1,4 +1,4 @@
-"""What the controller needs of a decision policy, and what some policies offer beyond that."""
+"""The interface of decision policies to the controller, and its optional extension for migrations."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 
 class DecisionPolicy(Protocol):
-    """Whatever decides: the `Balancer`, or a policy that experiments put in its place."""
+    """Makes the decisions: the `Balancer`, or an experimental policy in its place."""
 
     def start(self, now_us: int) -> list[Action]:
-        """Returns the actions to carry out before the first event."""
+        """Return the actions to execute before the first event."""
         ...
 
     def handle(self, event: Event, now_us: int) -> list[Action]:
-        """Handles an event and returns the actions that follow from it, in order."""
+        """Handle an event and return the resulting actions, in order."""
         ...
 
 
 @runtime_checkable
 class MigratingPolicy(DecisionPolicy, Protocol):
-    """A policy that also reports its estimates of the servers and records migrations that are decided elsewhere."""
+    """A policy that also publishes its estimates of the servers and records migrations that others decide."""
 
     def estimates(self, now_us: int) -> list[ServerEstimate]:
-        """Returns what the policy believes of each server that is ready."""
+        """Return the policy's estimate of each server that is ready."""
         ...
 
     def avoided_servers(self, now_us: int) -> list[str]:
-        """Returns the names of the listed servers that get no new sessions for now."""
+        """Return the names of the listed servers that currently receive no new sessions."""
         ...
 
     def migrate(self, request_id: str, /) -> list[Action]:
-        """Records that an established session is migrated, and returns the actions that do it."""
+        """Record that an established session is migrated, and return the actions that migrate it."""
         ...
 
 
 PolicyFactory = Callable[[Settings, int], DecisionPolicy]
-"""Makes a policy from the settings and the seed of its random draws."""
+"""Creates a policy from the settings and the seed of its random generator."""
--- a/stoatgw/controller/recovery.py
+++ b/stoatgw/controller/recovery.py
@@ -1,4 +1,4 @@
-"""What is done after a fault of the decision policy."""
+"""Recovery after an exception of the decision policy."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PolicyRecovery:
-    """Replaces a policy that raised an exception by a new one, without leaving a request unanswered.
+    """Replaces a policy that raised an exception by a new one, and answers the requests that are thereby orphaned.
 
     Called from the controller's task only.
     """
@@ -27,9 +27,9 @@
         self._log = log
 
     def recover(self, error: Exception) -> None:
-        """Fails the requests that wait without an attempt, and starts anew with the sessions that are established.
+        """Fail the waiting requests that have no attempt, and start a new policy with the established sessions.
 
-        Called while the error is handled, so that its traceback is logged.
+        Called in the `except` block, so that the traceback can be logged.
         """
         self._counters.add("decision_crashes")
         trace = traceback.format_exc(limit=TRACEBACK_FRAMES)
--- a/stoatgw/controller/requests.py
+++ b/stoatgw/controller/requests.py
@@ -1,4 +1,4 @@
-"""The requests that the controller knows, and their final answers: exactly one for each."""
+"""The state of all requests, and their final answers: exactly one for each."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RequestTable:
-    """The state of each request from its arrival until no answer is owed and no attempt is in flight.
+    """The state of each request from its receipt until it is answered and has no attempt in flight.
 
     Only the controller's task changes it.
     """
@@ -45,32 +45,32 @@
         return len(self._states)
 
     def get(self, request_id: str) -> RequestState | None:
-        """Returns the state of a request, or None if it is not known (any more)."""
+        """Return the state of a request, or None if the table does not contain it."""
         return self._states.get(request_id)
 
     def add(self, state: RequestState) -> None:
-        """Adds a request, until `remove_if_complete`."""
+        """Add a request, which stays in the table until `remove_if_complete`."""
         self._states[state.request.request_id] = state
 
     def remove_if_complete(self, state: RequestState) -> None:
-        """Drops a request once no answer is owed and no attempt is in flight; until then does nothing."""
+        """Remove a request if it is answered and has no attempt in flight; otherwise do nothing."""
         if state.is_answered and state.active_attempt is None:
             self._states.pop(state.request.request_id, None)
 
     def class_of(self, state: RequestState) -> RequestClass:
-        """Returns the settings of the request's class."""
+        """Return the settings of the request's class."""
         return self._settings.profiles[state.request.request_class]
 
     def established(self) -> Iterator[RequestState]:
-        """Yields the requests whose session is established."""
+        """Yield the requests whose session is established."""
         return (state for state in self._states.values() if state.is_established)
 
     def unanswered(self) -> list[RequestState]:
-        """Returns the requests that are owed an answer."""
+        """Return the requests without a final answer."""
         return [state for state in self._states.values() if not state.is_answered]
 
     def connections_to(self, server: str) -> int:
-        """Counts the connections of this proxy to a server, established or being set up."""
+        """Return the number of connections of this proxy to a server, established or being set up."""
         return sum(
             1
             for state in self._states.values()
@@ -80,7 +80,7 @@
     # Messages.
 
     def handle_received(self, message: RequestReceived) -> None:
-        """Hands a new request to the policy, or rejects it where a drain admits none."""
+        """Pass a new request to the policy, or reject it if a drain no longer admits requests."""
         state = message.state
         now_us = self._decisions.now_us
         if not self._drain.is_admitting(now_us):
@@ -92,7 +92,7 @@
         self._decisions.notify(state.request)
 
     def handle_disconnected(self, message: ClientDisconnected) -> None:
-        """Notifies the policy that nobody waits for an answer any more."""
+        """Notify the policy that the client no longer waits for an answer."""
         state = message.state
         state.mark_answered()
         if state.request.request_id in self._states:
@@ -100,23 +100,23 @@
             self.remove_if_complete(state)
 
     def handle_timed_out(self, message: RequestTimedOut) -> None:
-        """Answers a request whose deadline has passed, whatever the policy does."""
+        """Answer a request whose deadline has passed, whatever the policy does."""
         state = message.state
         if not state.is_answered:
             self._counters.add("requests_timed_out")
             self._notify_disconnected(state)
-            self._answer_unserved(state, AnswerReason.DEADLINE)
+            self._reject_or_fail(state, AnswerReason.DEADLINE)
 
     # Actions of the policy.
 
     def perform_reject(self, action: Reject) -> None:
-        """Rejects a request, unless it has its answer."""
+        """Reject a request, unless it is answered already."""
         state = self._states.get(action.request_id)
         if state is not None and not state.is_answered:
             self.reject(state, action.retry_after_us, AnswerReason.POLICY)
 
     def perform_fail(self, action: Fail) -> None:
-        """Fails a request, unless it has its answer."""
+        """Fail a request, unless it is answered already."""
         state = self._states.get(action.request_id)
         if state is not None and not state.is_answered:
             self.fail(state, AnswerReason.POLICY)
@@ -124,7 +124,7 @@
     # Final answers.
 
     def reject(self, state: RequestState, retry_after_us: int, reason: AnswerReason) -> None:
-        """Answers that the request was rejected and may be repeated; `retry_after_us` 0 gives no advice."""
+        """Answer that the request was rejected and can be retried; `retry_after_us` 0 advises no delay."""
         state.answer_reason = reason
         state.mark_answered()
         self._counters.add("requests_rejected")
@@ -132,35 +132,35 @@
         self.remove_if_complete(state)
 
     def fail(self, state: RequestState, reason: AnswerReason) -> None:
-        """Answers that the request failed and may have run."""
+        """Answer that the request failed and may have run."""
         state.answer_reason = reason
         state.mark_answered()
         self._counters.add("requests_failed")
         state.handler.fail()
         self.remove_if_complete(state)
 
-    def answer_all_unserved(self) -> None:
-        """Answers all requests that wait; their attempts in flight are left to end."""
+    def answer_all_waiting(self) -> None:
+        """Answer all waiting requests; their attempts in flight are not cancelled."""
         for state in self.unanswered():
-            self._answer_unserved(state, AnswerReason.DRAIN_ADMISSION_ENDED)
+            self._reject_or_fail(state, AnswerReason.DRAIN_ADMISSION_ENDED)
             if state.active_attempt is None:
-                self._notify_disconnected(state)  # the policy may hold it until health checks complete
+                self._notify_disconnected(state)  # the policy may delay the request until health checks complete
 
     def fail_orphans(self) -> None:
-        """Fails the requests that wait without an attempt; the others fail when theirs ends without success."""
+        """Fail the waiting requests that have no attempt; the others fail if their attempt in flight does."""
         for state in self.unanswered():
             state.is_orphaned = True
             if state.active_attempt is None:
                 self.fail(state, AnswerReason.POLICY_CRASHED)
 
-    def _answer_unserved(self, state: RequestState, reason: AnswerReason) -> None:
-        """Answers without a server: rejects where a repeat is known to be harmless, else fails."""
-        if self._is_harmless_to_repeat(state):
+    def _reject_or_fail(self, state: RequestState, reason: AnswerReason) -> None:
+        """Answer a request that has no session: reject it if a retry is known to be harmless, else fail it."""
+        if self._is_safe_to_retry(state):
             self.reject(state, self._drain.retry_after_us(self._decisions.now_us), reason)
         else:
             self.fail(state, reason)
 
-    def _is_harmless_to_repeat(self, state: RequestState) -> bool:
+    def _is_safe_to_retry(self, state: RequestState) -> bool:
         never_ran = state.first_run_us is None and state.active_attempt is None
         if never_ran:
             return True
--- a/stoatgw/controller/timers.py
+++ b/stoatgw/controller/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the controller: each posts a message, so that all work is done in the controller's task."""
+"""Timers of the controller. Each posts a message, so that it is handled in the controller's task."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def post_later(queue: MessageQueue, delay_s: float, message: Message) -> asyncio.TimerHandle:
-    """Posts a message after a delay, unless the returned handle is cancelled before."""
+    """Post a message after a delay, unless the returned handle is cancelled before."""
     return asyncio.get_running_loop().call_later(delay_s, queue.post, message)
 
 
 class PolicyTimers:
-    """The timers that the policy asks for; they are never cancelled."""
+    """The timers that the policy sets; they are never cancelled."""
 
     def __init__(self, decisions: DecisionRunner, clock: Clock, queue: MessageQueue) -> None:
         self._decisions = decisions
@@ -24,11 +24,11 @@
         self._queue = queue
 
     def perform_set_timer(self, action: SetTimer) -> None:
-        """Starts a timer."""
+        """Start a timer."""
         self._schedule(action.token, action.at_us)
 
     def handle_fired(self, message: TimerFired) -> None:
-        """Notifies the policy, or waits on where the event loop's timer, which counts milliseconds, fired early."""
+        """Notify the policy, or reschedule a timer that the event loop, which counts milliseconds, fired early."""
         if self._decisions.now_us < message.at_us:
             self._schedule(message.token, message.at_us)
         else:
