--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -50,7 +50,7 @@
         ...
 
     def reject(self, retry_after_us: int) -> None:
-        """Answer that the request was rejected; `retry_after_us` 0 advises no delay."""
+        """Answer that the request was rejected; `retry_after_us` 0: without a retry delay."""
         ...
 
     def fail(self) -> None:
@@ -58,13 +58,15 @@
         ...
 
     def migrate(self) -> None:
-        """Close the established session cleanly, so that its client reconnects to another server."""
+        """Close the established session cleanly, so that its client reconnects."""
         ...
 
 
 @dataclass(slots=True, eq=False)
 class RequestState:
-    """A client's request and its progress; only the controller's task changes it.
+    """A client's request and its progress.
+
+    Only the controller's task changes it, apart from the two reasons, which the client's side may set as well.
 
     Attributes:
         request: The request as passed to the policy.
--- a/stoatgw/controller/requests.py
+++ b/stoatgw/controller/requests.py
@@ -124,7 +124,7 @@
     # Final answers.
 
     def reject(self, state: RequestState, retry_after_us: int, reason: AnswerReason) -> None:
-        """Answer that the request was rejected and can be retried; `retry_after_us` 0 advises no delay."""
+        """Answer that the request was rejected and can be retried; `retry_after_us` 0: without a retry delay."""
         state.answer_reason = reason
         state.mark_answered()
         self._counters.add("requests_rejected")
--- a/stoatgw/rebalance/__init__.py
+++ b/stoatgw/rebalance/__init__.py
@@ -1,7 +1,8 @@
 """Plans which established sessions to migrate from overloaded servers, in which order and at which rate. Pure.
 
-Promises bounds in all, by server and by group, no client migrated twice within an interval, and no migration whose
-gain is under its cost. Where a migrated client goes is left to the decisions, which admit it as any other.
+Limits the migrations in total, per server and per group, migrates no client twice within an interval, and plans no
+migration whose gain is below its cost. The server that a migrated client reconnects to is selected by the decisions,
+which admit it like any other client.
 """
 
 from stoatgw.rebalance.limits import RebalanceLimits
--- a/stoatgw/rebalance/limits.py
+++ b/stoatgw/rebalance/limits.py
@@ -1,4 +1,4 @@
-"""The settings of rebalancing, checked by their types. Only a proxy whose operators turn it on loads this."""
+"""The settings of rebalancing, validated by their types. A proxy without an operators' file does not import them."""
 
 from __future__ import annotations
 
@@ -14,26 +14,30 @@
 
 
 class RebalanceLimits(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """The `[rebalance]` table. The defaults are what docs/results/ was measured with.
+    """The `[rebalance]` table of the operators' file. The results in docs/results/ were measured with the defaults.
 
     Attributes:
         enabled: Whether sessions are migrated at all.
-        step_interval_us: Time between two plans; `step_us` in the file.
-        overload_threshold: Load from which a server's messages begin to be late: nothing is migrated from a server
-            below it; `over` in the file.
-        min_load_gap: By how much load the target must stay under the source after the migration; `gap` in the file.
-        min_warm_up_fraction: Fraction of its full capacity that a target must have by now; `warm` in the file.
-        migration_rate: Fraction of the proxy's own sessions that it may migrate in a second; `rate` in the file.
-        max_migrations_per_server: Migrations from one server, and to one, in a step; `per_server` in the file.
-        max_migrations_per_group: Migrations of one group in a step; `per_group` in the file.
-        max_migrations_in_flight: Migrated clients that may not have returned yet; `under_way` in the file.
-        min_remigration_interval_us: A client is not migrated twice within it; `again_us` in the file.
-        reconnect_window_us: How long a migrated client counts as not returned; `back_us` in the file.
-        max_report_age_us: A server with an older report is neither source nor target; `fresh_us` in the file.
-        migration_cost_s: Cost of a migration, in seconds of the session's priority weight; `cost_s` in the file.
-        gain_horizon_s: How long a gain is taken to last; `horizon_s` in the file.
-        latency_objective_ratio: Latency objective over a message's work: how steeply messages get late near capacity;
-            `sharpness` in the file.
+        step_interval_us: Time between two steps, each of which makes a plan; `step_us` in the file.
+        overload_threshold: Load above which a server's messages begin to be late; sessions migrate only from servers
+            above it to servers below it; `over` in the file.
+        min_load_gap: Minimum difference between the source's load and the target's load after the migration; `gap`
+            in the file.
+        min_warm_up_fraction: Fraction of its full capacity that a target must have reached; `warm` in the file.
+        migration_rate: Fraction of its own sessions that a proxy may migrate per second; `rate` in the file.
+        max_migrations_per_server: Maximum migrations from one server, and to one server, in a step; `per_server`
+            in the file.
+        max_migrations_per_group: Maximum migrations of one group in a step; `per_group` in the file.
+        max_migrations_in_flight: Maximum migrated clients that may not have reconnected yet; `under_way` in the file.
+        min_remigration_interval_us: Minimum time between two migrations of a client; `again_us` in the file.
+        reconnect_window_us: How long a migrated client counts as not reconnected yet; `back_us` in the file.
+        max_report_age_us: Maximum age of a server's load report; a server with an older one is neither source nor
+            target; `fresh_us` in the file.
+        migration_cost_s: Cost of a migration, in seconds of the session's service, weighted by its priority; `cost_s`
+            in the file.
+        gain_horizon_s: How long a gain is assumed to last; `horizon_s` in the file.
+        latency_objective_ratio: Latency objective divided by the service time of a message; determines how steeply the
+            on-time fraction falls near capacity; `sharpness` in the file.
         excess_fraction: Fraction of the excess load that all proxies together migrate in a step; `part` in the file.
     """
 
--- a/stoatgw/rebalance/rebalancer.py
+++ b/stoatgw/rebalance/rebalancer.py
@@ -1,4 +1,4 @@
-"""From the decisions' estimates to a snapshot, and from the plan to requests: what the controller calls each step."""
+"""The adapter between controller and planner: converts the decisions' estimates to a snapshot for each step."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from stoatgw.rebalance.planner import RebalancePlanner
 from stoatgw.rebalance.snapshot import FleetSnapshot, ServerSnapshot, SessionSnapshot
 
-STEP_OFFSET_US = 37_000  # by which the step of each further proxy is longer
-MEAN_LOAD_UNITS = 1.0  # loads of single sessions are not known: each counts as a mean one
+STEP_OFFSET_US = 37_000  # added to the step interval for each rank of the proxy
+MEAN_LOAD_UNITS = 1.0  # the load of a single session is unknown: each counts as a mean session
 
 
 class Rebalancer:
-    """Plans the migrations of one proxy; called by the controller's task alone.
+    """Plans the migrations of one proxy. Called from the controller's task only.
 
     Attributes:
-        interval_us: Time between two steps.
+        interval_us: The time between two steps.
     """
 
     def __init__(self, limits: RebalanceLimits, settings: Settings, seed: int) -> None:
-        # Proxies that plan at one moment would all plan on one snapshot: each has a step of another length.
+        # Proxies that plan at the same time would all use the same snapshot, so each has a different interval.
         max_offset_us = max(1, limits.step_interval_us // 4)
         self.interval_us = limits.step_interval_us + (settings.rank * STEP_OFFSET_US) % max_offset_us
         self._planner = RebalancePlanner(limits, seed)
@@ -27,11 +27,11 @@
         self._max_weight = max(request_class.worth for request_class in settings.profiles) or 1.0
 
     def plan(self, estimates: list[ServerEstimate], now_us: int) -> list[str]:
-        """The requests of the sessions to migrate now, in order."""
+        """Return the ids of the requests whose sessions migrate now, in order."""
         return [migration.request_id for migration in self._planner.plan(self.build_snapshot(estimates, now_us))]
 
     def build_snapshot(self, estimates: list[ServerEstimate], now_us: int) -> FleetSnapshot:
-        """The planner's view of the estimates."""
+        """Convert the estimates to the planner's snapshot."""
         return FleetSnapshot(now_us, tuple(self._server_snapshot(estimate) for estimate in estimates))
 
     def _server_snapshot(self, estimate: ServerEstimate) -> ServerSnapshot:
--- a/stoatgw/rebalance/snapshot.py
+++ b/stoatgw/rebalance/snapshot.py
@@ -1,4 +1,4 @@
-"""What a plan is computed from and what it holds: the fleet as one proxy estimates it, and the migrations."""
+"""The input and output of the planner: the fleet as one proxy estimates it, and the planned migrations."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
     """One of the proxy's own established sessions.
 
     Attributes:
-        request_id: The request that opened it.
-        idempotency_key: The client's key, the same when it returns under a new request.
-        group: The group whose sessions share a cost on each server; None for a session of no group.
-        priority_weight: Weight of a second of service, as a fraction of the highest.
-        load_units: Its load, in mean sessions.
+        request_id: The id of the request that opened it.
+        idempotency_key: The client's key, which stays the same when it reconnects with a new request.
+        group: The group whose sessions share a fixed load on each server; None without a group.
+        priority_weight: The worth of a second of its service, as a fraction of the highest.
+        load_units: Its load, in units of a mean session.
     """
 
     request_id: str
@@ -25,7 +25,7 @@
 
     @property
     def client(self) -> int | str:
-        """What identifies the client across its requests, as far as that is known."""
+        """The client's identity across requests: its idempotency key, or the request id if it has none."""
         return self.idempotency_key if self.idempotency_key is not None else self.request_id
 
 
@@ -35,14 +35,14 @@
 
     Attributes:
         name: The server's identifier.
-        load: Load over current capacity.
-        load_per_connection: What one mean session adds to `load`.
-        connections: Connections held, by all proxies.
+        load: Load divided by current capacity.
+        load_per_connection: The increase of `load` by one mean session.
+        connections: Connections of all proxies to the server.
         report_age_us: Age of the load report behind the estimate.
-        warm_up_fraction: Fraction of its full capacity that it has by now; under 1 it is in slow start.
-        setups_in_flight: The proxy's own attempts in flight to it.
-        is_healthy: Whether it is serving, not ejected, and in time with its messages.
-        own_sessions: The proxy's own established sessions on it.
+        warm_up_fraction: Fraction of its full capacity that it has reached; below 1 it is in slow start.
+        setups_in_flight: The proxy's own attempts in flight at the server.
+        is_healthy: Whether it is serving, not ejected, and on time with its messages.
+        own_sessions: The proxy's own established sessions at the server.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """All servers at one moment of the proxy's clock."""
+    """All servers at one time of the proxy's clock."""
 
     now_us: int
     servers: tuple[ServerSnapshot, ...]
@@ -66,16 +66,16 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedMigration:
-    """One migration, with the figures that decided it.
+    """One migration, with the values on which it was decided.
 
     Attributes:
-        request_id: The session to migrate.
-        source: The server that it is on.
-        target: A server with capacity for it; the decisions may select another.
+        request_id: The id of the request of the session to migrate.
+        source: The server of the session.
+        target: A server with capacity for the session; the decisions may select another one.
         source_load: The source's load before the step.
         target_load: The target's load when this migration was evaluated.
-        gain: Priority weight regained each second, in mean sessions of the highest weight.
-        cost: What the reconnect is taken to cost, spread over the time that the gain lasts.
+        gain: Priority-weighted service gained per second, in units of a mean session of the highest weight.
+        cost: The assumed cost of the reconnect in the same unit, spread over the time for which the gain lasts.
     """
 
     request_id: str
--- a/stoatgw/rebalance/target_capacity.py
+++ b/stoatgw/rebalance/target_capacity.py
@@ -1,19 +1,19 @@
-"""Which servers can receive migrated sessions, and how much of their capacity a step has reserved."""
+"""The servers that can receive migrated sessions, and the capacity that a step has reserved at them."""
 
 from __future__ import annotations
 
 from stoatgw.rebalance.limits import RebalanceLimits
 from stoatgw.rebalance.snapshot import FleetSnapshot, ServerSnapshot, SessionSnapshot
 
-MIN_LOAD_PER_CONNECTION = 1e-6  # guards against division by an estimate of zero
-GROUP_LOAD_UNITS = 1.0  # what a server pays for each group of which it holds any session, in mean sessions
+MIN_LOAD_PER_CONNECTION = 1e-6  # prevents division by an estimate of zero
+GROUP_LOAD_UNITS = 1.0  # load that each group with any session adds to a server, in units of a mean session
 
 
 class TargetCapacity:
     """The targets of one step.
 
     Attributes:
-        balanced_load: The load that all healthy servers would have if it were spread evenly by their capacity.
+        balanced_load: The load of each healthy server if the load were distributed in proportion to their capacity.
         targets: The servers that may receive sessions in this step.
     """
 
@@ -29,19 +29,19 @@
         self._groups = {server.name: {session.group for session in server.own_sessions} for server in self.targets}
 
     def load(self, target: ServerSnapshot) -> float:
-        """The target's load with what this step has reserved."""
+        """Return the target's load including the reservations of this step."""
         return target.load + self._reserved_load.get(target.name, 0.0)
 
     def load_with(self, target: ServerSnapshot, session: SessionSnapshot) -> float:
-        """The target's load if it also received the session, with its group's load where that is new there."""
-        pays_for_group = session.group is not None and session.group not in self._groups[target.name]
-        group_units = GROUP_LOAD_UNITS if pays_for_group else 0.0
+        """Return the target's load including the session, and its group's load if the group is new at the target."""
+        adds_group = session.group is not None and session.group not in self._groups[target.name]
+        group_units = GROUP_LOAD_UNITS if adds_group else 0.0
         return self.load(target) + target.load_per_connection * (session.load_units + group_units)
 
     def reserve(self, target: ServerSnapshot, session: SessionSnapshot) -> bool:
-        """Reserve capacity for one more session; returns whether there was any.
+        """Reserve capacity for one more session, and return whether it was available.
 
-        A server in slow start receives one session in a step, and none while an attempt to it is in flight.
+        A server in slow start receives one session per step, and none while an attempt at it is in flight.
         """
         if target.warm_up_fraction >= 1.0:
             max_reservations = self._limits.max_migrations_per_server
@@ -64,7 +64,7 @@
 
 
 def _balanced_load(servers: list[ServerSnapshot]) -> float:
-    """Mean load, weighted by capacity; 1 where there is no server."""
+    """Return the mean load, weighted by capacity; 1 if there are no servers."""
     capacity = sum(1.0 / max(MIN_LOAD_PER_CONNECTION, server.load_per_connection) for server in servers)
     if not capacity:
         return 1.0
