--- a/stoatgw/rebalance/rebalancer.py
+++ b/stoatgw/rebalance/rebalancer.py
@@ -7,7 +7,7 @@
 from stoatgw.rebalance.planner import RebalancePlanner
 from stoatgw.rebalance.snapshot import FleetSnapshot, ServerSnapshot, SessionSnapshot
 
-STEP_OFFSET_US = 37_000  # added to the step interval for each rank of the proxy
+STEP_OFFSET_US = 37_000  # times the proxy's rank, added to the step interval
 MEAN_LOAD_UNITS = 1.0  # the load of a single session is unknown: each counts as a mean session
 
 
--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -1,4 +1,4 @@
-"""A controller with the real balancer between a gateway and request handlers that record what is asked of them."""
+"""A controller with the real balancer, and a gateway and request handlers that record their calls."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from stoatgw.telemetry.log import EventLog
 from tests.fleet import settings
 
-PATIENCE_US = 2_000_000
+REQUEST_TIMEOUT_US = 2_000_000
 
 
 class RecordingGateway:
-    """Records what is asked of the backends."""
+    """Records the calls to the backends."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
@@ -34,7 +34,7 @@
 
 
 class RecordingHandler:
-    """Records what is asked of a client's side."""
+    """Records the calls to the client's side of a request."""
 
     def __init__(self) -> None:
         self.calls: list[Any] = []
@@ -56,7 +56,7 @@
 
 
 class ControllerHarness:
-    """A started controller whose task runs only while messages are delivered. Needs a running event loop."""
+    """A started controller whose task runs only while messages are delivered. Requires a running event loop."""
 
     def __init__(self, config: Settings | None = None) -> None:
         self.clock = Clock()
@@ -67,7 +67,7 @@
         self._request_count = 0
 
     async def deliver(self, *messages: Message) -> None:
-        """Posts messages and has the controller handle them in one batch, with all that came due before."""
+        """Post messages and let the controller handle them in one batch, with the messages posted before."""
         for message in messages:
             self.controller.post(message)
         task = asyncio.get_running_loop().create_task(self.controller.run())
@@ -76,22 +76,22 @@
         task.cancel()
 
     async def list_servers(self, *names: str) -> None:
-        """Delivers an endpoint list of servers that are active."""
+        """Deliver an endpoint list of active servers."""
         endpoints = tuple(Endpoint(name) for name in names)
         await self.deliver(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 1, endpoints)))
 
     def new_request(self) -> tuple[RequestState, RecordingHandler]:
-        """Makes a request with its handler; nothing is delivered."""
+        """Create a request and its handler, without delivering a message."""
         self._request_count += 1
         handler = RecordingHandler()
-        request = Request(f"{self._request_count:016x}", 0, PATIENCE_US)
-        return RequestState(request, self.clock.now_us() + PATIENCE_US, handler), handler
+        request = Request(f"{self._request_count:016x}", 0, REQUEST_TIMEOUT_US)
+        return RequestState(request, self.clock.now_us() + REQUEST_TIMEOUT_US, handler), handler
 
 
 def run_with_harness(
     test: Callable[[ControllerHarness], Coroutine[Any, Any, None]], config: Settings | None = None
 ) -> None:
-    """Runs a test in an event loop of its own, with a harness."""
+    """Run a test with a harness in a new event loop."""
 
     async def run() -> None:
         await test(ControllerHarness(config))
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller: what it does for the decision policy, and that every request it took is answered."""
+"""Tests of the controller: its services for the decision policy, and one answer for every accepted request."""
 
 from __future__ import annotations
 
@@ -51,14 +51,14 @@
 
 
 def test_the_balancer_is_a_migrating_policy() -> None:
-    balancer: MigratingPolicy = Balancer(settings(), 7)  # statically
-    assert isinstance(balancer, MigratingPolicy)  # and as the controller asks for it
+    balancer: MigratingPolicy = Balancer(settings(), 7)  # checked by mypy
+    assert isinstance(balancer, MigratingPolicy)  # checked at run time, as in the controller
 
 
 # Attempts and answers.
 
 
-def test_a_failed_connect_is_retried_once_elsewhere_then_rejected_with_advice() -> None:
+def test_a_failed_connect_is_retried_once_at_another_server_then_rejected_with_a_retry_delay() -> None:
     async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a", "b", "c")
         state, handler = harness.new_request()
@@ -114,7 +114,7 @@
 
 @pytest.mark.parametrize("by_drain", [True, False])
 def test_a_request_answered_while_it_waits_for_health_checks_leaves_no_state(by_drain: bool) -> None:
-    """The policy may hold a request without an attempt; the controller answers it without asking the policy."""
+    """The policy may delay a request without an attempt; the controller answers it without the policy."""
 
     async def test(harness: ControllerHarness) -> None:
         await harness.list_servers(*"abcdefghijkl")
@@ -147,7 +147,7 @@
     run_with_harness(test)
 
 
-def test_a_fault_of_the_policy_leaves_no_request_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_of_the_policy_leaves_no_request_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
     def handle(event: Event, now_us: int) -> None:
         raise RuntimeError("broken")
 
@@ -187,13 +187,13 @@
         assert established_handler.calls == ["migrate"]
         assert new_handler.calls == [("reject", 0)]
         await harness.deliver(AttemptEstablished(waiting, 0))
-        assert waiting_handler.calls[-1] == "migrate"  # it was established as it was rejected
+        assert waiting_handler.calls[-1] == "migrate"  # the session was established while the request was rejected
 
     run_with_harness(test)
 
 
-def test_sessions_migrate_at_a_rising_rate_and_early_requests_are_served() -> None:
-    """Who migrates late is served the longer; who still comes is not rejected three times and lost."""
+def test_sessions_migrate_at_an_increasing_rate_and_early_requests_are_served() -> None:
+    """Sessions that migrate late are served longer; new requests are served, not rejected three times and lost."""
 
     async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a", "b")
@@ -222,7 +222,7 @@
 
 
 def test_no_session_migrates_while_new_clients_are_routed_here() -> None:
-    """Guards against clients that migrated at once, came back to the proxy that drains and were rejected."""
+    """Guards against clients that migrated at once, reconnected to the draining proxy and were rejected."""
 
     async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a")
@@ -245,21 +245,21 @@
 
 @pytest.mark.parametrize("deadline_us", [500_000, 2_000_000, 3_200_000])
 @pytest.mark.parametrize("handed_over", [True, False])
-def test_a_shutdown_uses_its_time_and_ends_before_the_kill(deadline_us: int, handed_over: bool) -> None:
-    """The kill comes 0.7 s after the longest deadline, which counts as 3 s at most."""
+def test_a_shutdown_uses_its_time_and_ends_before_sigkill(deadline_us: int, handed_over: bool) -> None:
+    """SIGKILL is sent 0.7 s after the longest deadline, which is capped at 3 s."""
     plan = plan_shutdown(settings(profiles=(RequestClass(500_000, deadline_us),)), handed_over=handed_over)
     kill_us = min(3_000_000, deadline_us) + 700_000
     last_migration_us = plan.drain.accept_window_us + plan.drain.migration_window_us
     assert last_migration_us + 400_000 < kill_us
     assert last_migration_us <= plan.max_duration_us < kill_us
     if not handed_over:
-        # Migrated within a second, all clients of a proxy came to its peers between two load reports.
+        # When all clients migrated within a second, they reached the peers between two load reports.
         assert plan.drain.accept_window_us >= 400_000
         assert last_migration_us >= kill_us - 800_000
 
 
 @pytest.mark.parametrize("deadline_us", [50_000, 100_000, 300_000])
-def test_a_shutdown_with_short_deadlines_ends_before_the_kill(deadline_us: int) -> None:
+def test_a_shutdown_with_short_deadlines_ends_before_sigkill(deadline_us: int) -> None:
     """Guards against a process that served until 1 s after SIGTERM and was killed at 0.8 s."""
     plan = plan_shutdown(settings(profiles=(RequestClass(20_000, deadline_us),)), handed_over=False)
     assert plan.min_duration_us <= plan.max_duration_us < deadline_us + 700_000
@@ -268,9 +268,10 @@
 
 
 class DrainModel:
-    """A plain model of drains beside the controller: each step does one thing and checks what follows from it.
+    """A reference model of drains, compared with the controller: each step runs one operation and checks its effect.
 
-    A client that comes while the proxy serves is placed and stays; a session that is established in a drain migrates.
+    A request received while the proxy serves is attempted, and its session stays; a session established in a drain
+    migrates.
     """
 
     def __init__(self, harness: ControllerHarness) -> None:
@@ -283,8 +284,8 @@
         state, handler = self._harness.new_request()
         self._requests.append((state, handler))
         await self._harness.deliver(RequestReceived(state))
-        is_placed = handler.calls[0][0] == "start_attempt"
-        assert is_placed == (self._state is not LifecycleState.STOPPING)
+        is_attempted = handler.calls[0][0] == "start_attempt"
+        assert is_attempted == (self._state is not LifecycleState.STOPPING)
 
     async def establish(self) -> None:
         for state, handler in self._requests:
@@ -318,7 +319,7 @@
         await asyncio.sleep(0.002)
         await self._harness.deliver()
 
-    async def play(self, step: str) -> None:
+    async def apply(self, step: str) -> None:
         await getattr(self, step)()
         assert self._lifecycle.state is self._state
         assert self._lifecycle.accepts_clients == (self._state is LifecycleState.SERVING)
@@ -341,12 +342,12 @@
 
 @hypothesis.settings(derandomize=True, deadline=None, max_examples=120)
 @given(STEPS)
-def test_however_drains_begin_and_are_cancelled_each_client_gets_one_answer(steps: list[str]) -> None:
+def test_any_sequence_of_drains_answers_each_client_once(steps: list[str]) -> None:
     async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a", "b", "c")
         model = DrainModel(harness)
         for step in steps:
-            await model.play(step)
+            await model.apply(step)
         await model.finish()
 
     run_with_harness(test)
--- a/tests/test_loss.py
+++ b/tests/test_loss.py
@@ -1,17 +1,17 @@
-"""What one proxy among many makes of servers and zones that stop answering, and of servers that come back."""
+"""Tests of how one of many proxies reacts to servers and zones that stop responding, and to servers that recover."""
 
 from __future__ import annotations
 
 from stoatgw.decisions.interface import AttemptStatus, CheckHealth, HealthCheckResult, Reject
 from tests.fleet import BalancerHarness, settings
 
-LOST = ("a0", "a1", "a2", "a3")
+LOST_ZONE = ("a0", "a1", "a2", "a3")
 
 
-def two_zones(**changes: object) -> BalancerHarness:
+def two_zone_harness(**changes: object) -> BalancerHarness:
     harness = BalancerHarness(settings(balancers=40, **changes))
     harness.list_servers(a0=0, a1=0, a2=0, a3=0, b0=1, b1=1)
-    for name in LOST:
+    for name in LOST_ZONE:
         harness.report(name, 0.2, 10)
     harness.report("b0", 0.4, 20)
     harness.report("b1", 0.4, 20)
@@ -19,16 +19,16 @@
     return harness
 
 
-def fail(harness: BalancerHarness, server: str, status: AttemptStatus = AttemptStatus.DIAL_FAILED) -> None:
+def fail_health_check(harness: BalancerHarness, server: str, status: AttemptStatus = AttemptStatus.DIAL_FAILED) -> None:
     harness.handle(HealthCheckResult(server, status, 250_000, ()))
 
 
 def test_unresponsive_servers_stay_ejected_in_panic_mode() -> None:
-    # Guards against ejection given up once four of six were gone: 60 set-ups a second went there.
-    harness = two_zones()
-    for name in LOST:
-        fail(harness, name)
-    for name in LOST:
+    # Guards against ejection being disabled once four of six servers were lost: they got 60 set-ups a second.
+    harness = two_zone_harness()
+    for name in LOST_ZONE:
+        fail_health_check(harness, name)
+    for name in LOST_ZONE:
         server = harness.server(name)
         server.ejected_until_us, server.setup_failures = harness.now_us + 4_000_000, 2
     harness.context.fleet.update_panic_mode(harness.now_us)
@@ -38,38 +38,38 @@
 
 
 def test_two_failures_make_a_zone_suspected_until_it_answers() -> None:
-    # Guards against each server of a lost zone being tried in turn, two connect time-outs a request.
-    harness = two_zones(can_probe=False)
-    fail(harness, "a0")
+    # Guards against attempts at one server of a lost zone after another: two connect timeouts per request.
+    harness = two_zone_harness(can_probe=False)
+    fail_health_check(harness, "a0")
     harness.request()
-    assert harness.sent_to() in LOST[1:]  # one alone is one alone
-    fail(harness, "a1")
+    assert harness.sent_to() in LOST_ZONE[1:]  # a single failure does not make the zone suspected
+    fail_health_check(harness, "a1")
     harness.request()
     assert harness.sent_to() in ("b0", "b1")
-    for name in LOST:
+    for name in LOST_ZONE:
         harness.report(name, 0.2, 10)
     harness.request()
-    assert harness.sent_to() in LOST
+    assert harness.sent_to() in LOST_ZONE
 
 
 def test_health_checks_for_a_request_show_that_its_zone_is_unresponsive() -> None:
-    harness = two_zones()
-    for name in LOST:
+    harness = two_zone_harness()
+    for name in LOST_ZONE:
         harness.health_check_results[name] = HealthCheckResult(name, AttemptStatus.DIAL_FAILED, 250_000, ())
     harness.request()
     assert harness.sent_to() in ("b0", "b1")
-    assert {check.server for check in harness.actions_of(CheckHealth)} & set(LOST)
+    assert {check.server for check in harness.actions_of(CheckHealth)} & set(LOST_ZONE)
 
 
-def test_unresponsive_servers_are_attempted_where_no_other_passes() -> None:
-    harness = two_zones()
-    for name in (*LOST, "b0", "b1"):
-        fail(harness, name)
+def test_unresponsive_servers_are_attempted_if_no_other_is_admitted() -> None:
+    harness = two_zone_harness()
+    for name in (*LOST_ZONE, "b0", "b1"):
+        fail_health_check(harness, name)
     harness.request()
     assert not harness.actions_of(Reject)
 
 
-def admitted(harness: BalancerHarness, server: str) -> int:
+def count_attempts(harness: BalancerHarness, server: str) -> int:
     count = 0
     for _ in range(60):
         harness.request()
@@ -77,21 +77,21 @@
     return count
 
 
-def test_a_server_back_empty_is_in_slow_start_before_the_list_shows_it() -> None:
-    # Guards against 14 set-ups in one second at a server 0.4 s old that the list still called settled.
-    harness = two_zones()
-    fail(harness, "a0", AttemptStatus.DROPPED)
+def test_a_server_that_recovers_without_connections_is_in_slow_start_before_the_list_shows_a_restart() -> None:
+    # Guards against 14 set-ups in one second at a server that restarted 0.4 s before, which the list did not show yet.
+    harness = two_zone_harness()
+    fail_health_check(harness, "a0", AttemptStatus.DROPPED)
     harness.now_us += 1_000_000
     harness.report("a0", 0.0, 0)
     assert harness.warm_up_fraction("a0") < 0.3
-    assert admitted(harness, "a0") <= 1
-    harness.now_us += 9_000_000  # the list never showed a restart: there was none
+    assert count_attempts(harness, "a0") <= 1
+    harness.now_us += 9_000_000  # the list never showed a restart, so there was none
     harness.advance_period(0)
     assert harness.warm_up_fraction("a0") == 1.0
 
 
 def test_a_server_that_kept_its_connections_while_unresponsive_stays_warm() -> None:
-    harness = two_zones()
-    fail(harness, "a0", AttemptStatus.EXPIRED)
+    harness = two_zone_harness()
+    fail_health_check(harness, "a0", AttemptStatus.EXPIRED)
     harness.report("a0", 0.2, 9)
     assert harness.warm_up_fraction("a0") == 1.0
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -1,4 +1,4 @@
-"""The planner of migrations: its bounds under any snapshots, and the cases in which nobody may be migrated."""
+"""Tests of the rebalancing planner: its limits for any snapshots, and the cases in which no session may migrate."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def plan(*servers: ServerSnapshot, limits: RebalanceLimits = LIMITS, steps: int = 1) -> list[str]:
-    """The migrations of some steps with one snapshot, as SOURCE>TARGET."""
+    """Return the migrations of `steps` steps with the same servers, as SOURCE>TARGET."""
     planner = RebalancePlanner(limits, 1)
     migrations = []
     for step in range(steps):
@@ -52,7 +52,7 @@
     return [f"{migration.source}>{migration.target}" for migration in migrations]
 
 
-def test_sessions_are_migrated_from_the_full_server_to_the_empty_one() -> None:
+def test_sessions_migrate_from_an_overloaded_server_to_an_idle_one() -> None:
     servers = (make_server("full", 0.95, 20), make_server("empty", 0.2), make_server("middle", 0.5))
     assert set(plan(*servers)) == {"full>empty"}
 
@@ -60,27 +60,30 @@
 @pytest.mark.parametrize(
     "servers",
     [
-        (make_server("a", 0.95, 20), make_server("b", 0.9)),  # all overloaded: nobody is better off elsewhere
+        (make_server("a", 0.95, 20), make_server("b", 0.9)),  # both overloaded: no migration gains anything
         (make_server("a", 0.95, 20),),
-        (make_server("a", 0.55, 20), make_server("b", 0.1)),  # the fuller one is under the threshold
-        (make_server("a", 0.95, 20), make_server("b", 0.2, is_healthy=False)),  # it stalls, fails, or is ejected
+        (make_server("a", 0.55, 20), make_server("b", 0.1)),  # the more loaded server is below the threshold
+        (
+            make_server("a", 0.95, 20),
+            make_server("b", 0.2, is_healthy=False),
+        ),  # the target is stalled, failing or ejected
         (make_server("a", 0.95, 20), make_server("b", 0.2, report_age_us=STALE_US)),
         (make_server("a", 0.95, 20, report_age_us=STALE_US), make_server("b", 0.2)),
-        (make_server("a", 0.95, 20), make_server("b", 0.05, warm_up_fraction=0.2)),  # just started
-        (make_server("a", 0.7, 20), make_server("b", 0.6)),  # the gap is too small
+        (make_server("a", 0.95, 20), make_server("b", 0.05, warm_up_fraction=0.2)),  # the target has just started
+        (make_server("a", 0.7, 20), make_server("b", 0.6)),  # the difference of the loads is too small
     ],
 )
-def test_nobody_is_migrated_where_nothing_is_gained(servers: tuple[ServerSnapshot, ...]) -> None:
+def test_no_session_migrates_without_a_gain(servers: tuple[ServerSnapshot, ...]) -> None:
     assert plan(*servers, steps=20) == []
 
 
-def test_nobody_is_migrated_at_a_cost_over_the_gain() -> None:
+def test_no_session_migrates_if_the_cost_exceeds_the_gain() -> None:
     limits = RebalanceLimits(enabled=True, excess_fraction=0.9, migration_rate=0.5, migration_cost_s=1e6)
     assert plan(make_server("full", 0.95, 20), make_server("empty", 0.2), limits=limits, steps=5) == []
 
 
-def test_a_member_of_a_group_is_migrated_only_where_that_frees_load() -> None:
-    """Twenty of one group on the full server: whoever is migrated pays for the group anew at the other."""
+def test_a_session_of_a_group_migrates_only_if_that_frees_load() -> None:
+    """With twenty sessions of one group, a migration adds the group's load to the target and frees none of it."""
     one_group = tuple(make_session(number, 7) for number in range(20))
     own_groups = tuple(make_session(number, number) for number in range(20))
     grouped = ServerSnapshot("a", 0.8, 0.1, 8.0, 0, 1.0, 0, True, one_group)
@@ -89,8 +92,8 @@
     assert plan(separate, make_server("b", 0.3, load_per_connection=0.1), steps=3)
 
 
-def test_many_proxies_together_do_not_pass_balance() -> None:
-    """Twelve proxies with the same late snapshot: what they migrate in one step stays within the excess."""
+def test_many_proxies_together_do_not_overshoot_balance() -> None:
+    """Guards against twelve proxies that migrate more than the excess in one step, all on the same snapshot."""
     migrations = 0
     for seed in range(12):
         servers = (make_server("a", 0.95, 5, connections=60.0), make_server("b", 0.2), make_server("c", 0.3))
@@ -99,14 +102,14 @@
 
 
 class PlannerSteps(RuleBasedStateMachine):
-    """Snapshots in any order against one planner, and what it may never do."""
+    """Passes random snapshots to one planner and checks its limits after each step."""
 
     @initialize(seed=st.integers(0, 5))
     def begin(self, seed: int) -> None:
         self.planner = RebalancePlanner(LIMITS, seed)
-        self.twin = RebalancePlanner(LIMITS, seed)
+        self.replica = RebalancePlanner(LIMITS, seed)
         self.now_us = 0
-        self.migrated: list[tuple[int, int]] = []  # client and time
+        self.migrated: list[tuple[int, int]] = []  # client, time of migration
 
     @rule(
         loads=st.lists(st.sampled_from([0.1, 0.3, 0.5, 0.8, 0.95, 1.4]), min_size=2, max_size=5),
@@ -130,7 +133,7 @@
         )
         fleet = FleetSnapshot(self.now_us, servers)
         migrations = self.planner.plan(fleet)
-        assert migrations == self.twin.plan(fleet)
+        assert migrations == self.replica.plan(fleet)
         by_name = {server.name: server for server in servers}
         sources = [migration.source for migration in migrations]
         targets = [migration.target for migration in migrations]
@@ -157,12 +160,12 @@
         assert len(migrations) <= max(1, LIMITS.migration_rate * 12 * len(servers))
 
     @invariant()
-    def each_client_is_migrated_once_an_interval(self) -> None:
+    def each_client_migrates_once_per_interval(self) -> None:
         intervals = 1 + self.now_us // LIMITS.min_remigration_interval_us
         assert len(self.migrated) <= 5 * 12 * intervals
 
 
-def test_no_bound_is_passed_whatever_the_snapshots() -> None:
+def test_the_limits_hold_for_any_snapshots() -> None:
     run_state_machine_as_test(
         PlannerSteps, settings=settings(derandomize=True, max_examples=40, stateful_step_count=12, deadline=None)
     )
@@ -170,7 +173,7 @@
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(st.floats(0.0, 1.0), st.integers(0, 3))
-def test_estimates_become_a_snapshot(load: float, rank: int) -> None:
+def test_estimates_are_converted_to_a_snapshot(load: float, rank: int) -> None:
     request = Request("f" * 16, 1, 0, idempotency_key=9, group=4)
     estimate = ServerEstimate("a", 0, load, 0.02, 10.0, 5, 1.0, 0, True, (request,))
     snapshot = Rebalancer(LIMITS, make_settings(rank=rank), 1).build_snapshot([estimate], 7)
@@ -179,37 +182,37 @@
 
 
 def test_the_decisions_publish_estimates_and_migrate_a_session_once() -> None:
-    stand = BalancerHarness()
-    stand.list_servers(a=0, b=1)
-    stand.report("a", 0.5, 10)
-    stand.request(request_id="f" * 16)
-    assert stand.balancer.estimates(stand.now_us)[0].own_sessions == ()
-    stand.establish("f" * 16, "a")
-    estimates = {estimate.server: estimate for estimate in stand.balancer.estimates(stand.now_us)}
+    harness = BalancerHarness()
+    harness.list_servers(a=0, b=1)
+    harness.report("a", 0.5, 10)
+    harness.request(request_id="f" * 16)
+    assert harness.balancer.estimates(harness.now_us)[0].own_sessions == ()
+    harness.establish("f" * 16, "a")
+    estimates = {estimate.server: estimate for estimate in harness.balancer.estimates(harness.now_us)}
     assert [request.request_id for request in estimates["a"].own_sessions] == ["f" * 16]
     assert estimates["a"].load == pytest.approx(0.55)
-    assert stand.balancer.migrate("f" * 16) == [Migrate("f" * 16)]
-    assert stand.balancer.migrate("f" * 16) == []
-    assert stand.balancer.migrate("0" * 16) == []
+    assert harness.balancer.migrate("f" * 16) == [Migrate("f" * 16)]
+    assert harness.balancer.migrate("f" * 16) == []
+    assert harness.balancer.migrate("0" * 16) == []
 
 
 def test_a_decision_evaluates_each_server_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Listed twice, servers used up the places of others that should have been compared."""
-    stand = BalancerHarness()
+    """Guards against servers that were candidates twice, in place of others that should have been compared."""
+    harness = BalancerHarness()
     evaluated: list[str] = []
-    stand.list_servers(**{f"s{number}": 0 for number in range(7)})
+    harness.list_servers(**{f"s{number}": 0 for number in range(7)})
     for number in range(7):
-        stand.report(f"s{number}", 0.7, 10)
-    expected_load = stand.context.estimator.expected_load
+        harness.report(f"s{number}", 0.7, 10)
+    expected_load = harness.context.estimator.expected_load
 
     def record_and_evaluate(server: ServerState, added_units: float, now_us: int) -> float:
         evaluated.append(server.endpoint.name)
         return expected_load(server, added_units, now_us)
 
-    monkeypatch.setattr(stand.context.estimator, "expected_load", record_and_evaluate)
+    monkeypatch.setattr(harness.context.estimator, "expected_load", record_and_evaluate)
     for _ in range(20):
         evaluated.clear()
-        stand.request()
+        harness.request()
         assert sorted(evaluated) == sorted(set(evaluated))
         assert len(evaluated) == 7
 
@@ -225,7 +228,7 @@
         ("version = [", "is no TOML"),
     ],
 )
-def test_a_bad_operators_file_is_one_line(tmp_path: Path, text: str, expected: str) -> None:
+def test_an_invalid_operators_file_is_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
     file = tmp_path / "stoatgw.toml"
     file.write_text(text)
     with pytest.raises(ConfigError) as caught:
@@ -240,7 +243,7 @@
 
 
 def test_the_operators_file_keeps_its_field_names(tmp_path: Path) -> None:
-    """Operators have these names in their files: a rename in the code must not reach them."""
+    """Operators use these names in their files: a rename in the code must not change them."""
     file = tmp_path / "stoatgw.toml"
     names = (
         "enabled step_us over gap warm rate per_server per_group under_way again_us back_us fresh_us cost_s "
