--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -319,7 +319,7 @@
         await asyncio.sleep(0.002)
         await self._harness.deliver()
 
-    async def apply(self, step: str) -> None:
+    async def play(self, step: str) -> None:
         await getattr(self, step)()
         assert self._lifecycle.state is self._state
         assert self._lifecycle.accepts_clients == (self._state is LifecycleState.SERVING)
@@ -347,7 +347,7 @@
         await harness.list_servers("a", "b", "c")
         model = DrainModel(harness)
         for step in steps:
-            await model.apply(step)
+            await model.play(step)
         await model.finish()
 
     run_with_harness(test)
--- a/tests/test_loss.py
+++ b/tests/test_loss.py
@@ -19,7 +19,7 @@
     return harness
 
 
-def fail_health_check(harness: BalancerHarness, server: str, status: AttemptStatus = AttemptStatus.DIAL_FAILED) -> None:
+def fail(harness: BalancerHarness, server: str, status: AttemptStatus = AttemptStatus.DIAL_FAILED) -> None:
     harness.handle(HealthCheckResult(server, status, 250_000, ()))
 
 
@@ -27,7 +27,7 @@
     # Guards against ejection being disabled once four of six servers were lost: they got 60 set-ups a second.
     harness = two_zone_harness()
     for name in LOST_ZONE:
-        fail_health_check(harness, name)
+        fail(harness, name)
     for name in LOST_ZONE:
         server = harness.server(name)
         server.ejected_until_us, server.setup_failures = harness.now_us + 4_000_000, 2
@@ -40,10 +40,10 @@
 def test_two_failures_make_a_zone_suspected_until_it_answers() -> None:
     # Guards against attempts at one server of a lost zone after another: two connect timeouts per request.
     harness = two_zone_harness(can_probe=False)
-    fail_health_check(harness, "a0")
+    fail(harness, "a0")
     harness.request()
     assert harness.sent_to() in LOST_ZONE[1:]  # a single failure does not make the zone suspected
-    fail_health_check(harness, "a1")
+    fail(harness, "a1")
     harness.request()
     assert harness.sent_to() in ("b0", "b1")
     for name in LOST_ZONE:
@@ -64,7 +64,7 @@
 def test_unresponsive_servers_are_attempted_if_no_other_is_admitted() -> None:
     harness = two_zone_harness()
     for name in (*LOST_ZONE, "b0", "b1"):
-        fail_health_check(harness, name)
+        fail(harness, name)
     harness.request()
     assert not harness.actions_of(Reject)
 
@@ -80,7 +80,7 @@
 def test_a_server_that_recovers_without_connections_is_in_slow_start_before_the_list_shows_a_restart() -> None:
     # Guards against 14 set-ups in one second at a server that restarted 0.4 s before, which the list did not show yet.
     harness = two_zone_harness()
-    fail_health_check(harness, "a0", AttemptStatus.DROPPED)
+    fail(harness, "a0", AttemptStatus.DROPPED)
     harness.now_us += 1_000_000
     harness.report("a0", 0.0, 0)
     assert harness.warm_up_fraction("a0") < 0.3
@@ -92,6 +92,6 @@
 
 def test_a_server_that_kept_its_connections_while_unresponsive_stays_warm() -> None:
     harness = two_zone_harness()
-    fail_health_check(harness, "a0", AttemptStatus.EXPIRED)
+    fail(harness, "a0", AttemptStatus.EXPIRED)
     harness.report("a0", 0.2, 9)
     assert harness.warm_up_fraction("a0") == 1.0
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -182,37 +182,37 @@
 
 
 def test_the_decisions_publish_estimates_and_migrate_a_session_once() -> None:
-    harness = BalancerHarness()
-    harness.list_servers(a=0, b=1)
-    harness.report("a", 0.5, 10)
-    harness.request(request_id="f" * 16)
-    assert harness.balancer.estimates(harness.now_us)[0].own_sessions == ()
-    harness.establish("f" * 16, "a")
-    estimates = {estimate.server: estimate for estimate in harness.balancer.estimates(harness.now_us)}
+    balancer_harness = BalancerHarness()
+    balancer_harness.list_servers(a=0, b=1)
+    balancer_harness.report("a", 0.5, 10)
+    balancer_harness.request(request_id="f" * 16)
+    assert balancer_harness.balancer.estimates(balancer_harness.now_us)[0].own_sessions == ()
+    balancer_harness.establish("f" * 16, "a")
+    estimates = {estimate.server: estimate for estimate in balancer_harness.balancer.estimates(balancer_harness.now_us)}
     assert [request.request_id for request in estimates["a"].own_sessions] == ["f" * 16]
     assert estimates["a"].load == pytest.approx(0.55)
-    assert harness.balancer.migrate("f" * 16) == [Migrate("f" * 16)]
-    assert harness.balancer.migrate("f" * 16) == []
-    assert harness.balancer.migrate("0" * 16) == []
+    assert balancer_harness.balancer.migrate("f" * 16) == [Migrate("f" * 16)]
+    assert balancer_harness.balancer.migrate("f" * 16) == []
+    assert balancer_harness.balancer.migrate("0" * 16) == []
 
 
 def test_a_decision_evaluates_each_server_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against servers that were candidates twice, in place of others that should have been compared."""
-    harness = BalancerHarness()
+    balancer_harness = BalancerHarness()
     evaluated: list[str] = []
-    harness.list_servers(**{f"s{number}": 0 for number in range(7)})
+    balancer_harness.list_servers(**{f"s{number}": 0 for number in range(7)})
     for number in range(7):
-        harness.report(f"s{number}", 0.7, 10)
-    expected_load = harness.context.estimator.expected_load
+        balancer_harness.report(f"s{number}", 0.7, 10)
+    expected_load = balancer_harness.context.estimator.expected_load
 
     def record_and_evaluate(server: ServerState, added_units: float, now_us: int) -> float:
         evaluated.append(server.endpoint.name)
         return expected_load(server, added_units, now_us)
 
-    monkeypatch.setattr(harness.context.estimator, "expected_load", record_and_evaluate)
+    monkeypatch.setattr(balancer_harness.context.estimator, "expected_load", record_and_evaluate)
     for _ in range(20):
         evaluated.clear()
-        harness.request()
+        balancer_harness.request()
         assert sorted(evaluated) == sorted(set(evaluated))
         assert len(evaluated) == 7
 
