--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -38,7 +38,7 @@
 class RequestHandler(Protocol):
     """The client's side of a request, called from the controller's task.
 
-    No call may block; an exception is handled like one of the policy.
+    No call may block; an exception is handled like an exception of the policy.
     """
 
     def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -63,10 +63,7 @@
         (make_server("a", 0.95, 20), make_server("b", 0.9)),  # both overloaded: no migration gains anything
         (make_server("a", 0.95, 20),),
         (make_server("a", 0.55, 20), make_server("b", 0.1)),  # the more loaded server is below the threshold
-        (
-            make_server("a", 0.95, 20),
-            make_server("b", 0.2, is_healthy=False),
-        ),  # the target is stalled, failing or ejected
+        (make_server("a", 0.95, 20), make_server("b", 0.2, is_healthy=False)),  # stalled, failing or ejected
         (make_server("a", 0.95, 20), make_server("b", 0.2, report_age_us=STALE_US)),
         (make_server("a", 0.95, 20, report_age_us=STALE_US), make_server("b", 0.2)),
         (make_server("a", 0.95, 20), make_server("b", 0.05, warm_up_fraction=0.2)),  # the target has just started
