--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -147,7 +147,7 @@
             while data := await tcp.receive(self._sock, READ_SIZE_BYTES):
                 await listener.forward(data)
         except OSError as error:
-            self.record_break(error)
+            self.record_connection_error(error)
         self.has_ended = True
         status = STATUS_BY_LAST_LINE.get(listener.last_keyword)
         if status is not None:
@@ -155,7 +155,7 @@
             return self._end(status, "ended by the backend")
         return self._end(AttemptStatus.DROPPED, self._break_reason or "ended by the backend")
 
-    def record_break(self, error: OSError) -> None:
+    def record_connection_error(self, error: OSError) -> None:
         """Note that a call on the established session failed: which of its tasks the kernel tells is chance.
 
         EPIPE alone tells of a backend that has ended in an orderly way, before what was sent to it arrived.
--- a/stoatgw/backends/latency.py
+++ b/stoatgw/backends/latency.py
@@ -41,7 +41,7 @@
         for _ in range(index + 1):
             self.pending.popleft()
 
-    def oldest_pending_us(self, now_us: int) -> int:
+    def oldest_pending_age_us(self, now_us: int) -> int:
         """Return for how long the oldest line has been waiting, 0 if none is."""
         return now_us - self.pending[0][0] if self.pending else 0
 
--- a/stoatgw/clients/migration.py
+++ b/stoatgw/clients/migration.py
@@ -37,7 +37,7 @@
         if state.is_migrating or state.has_ended:
             return
         state.is_migrating = True
-        is_line_open = self._server_lines.holds_data
+        is_line_open = self._server_lines.has_partial_line
         self._log.event(
             "session_migrating",
             id=self._request_state.request.request_id,
--- a/stoatgw/clients/relay.py
+++ b/stoatgw/clients/relay.py
@@ -106,7 +106,7 @@
             self._attempt_ready.set_result(None)
         end = await attempt.relay(self)
         if not self._state.owes_last_line:  # MOVE may not follow half a line
-            await self._send_to_client(self._server_lines.take_held())  # the server ended in the middle of a line
+            await self._send_to_client(self._server_lines.flush())  # the server ended in the middle of a line
         return end
 
     def half_close_server(self) -> None:
@@ -260,7 +260,7 @@
             self._closer.finish(SessionEnd(EndReason.CLIENT_DISCONNECTED, was_reset=was_reset, why=str(error)))
             return
         if not self._state.has_ended:  # the client ended in the middle of a line, and was not sent away
-            await self._send_to_server(self._client_lines.take_held())
+            await self._send_to_server(self._client_lines.flush())
         self._closer.finish(SessionEnd(EndReason.CLIENT_DISCONNECTED, why="ended by the client"))
 
     def _reject_early_data(self) -> None:
@@ -282,7 +282,7 @@
         try:
             await attempt.send(data)
         except OSError as error:
-            attempt.record_break(error)
+            attempt.record_connection_error(error)
             await self._confirm_server_break(error)
         finally:
             self._is_sending_to_server = False
--- a/stoatgw/clients/request_handler.py
+++ b/stoatgw/clients/request_handler.py
@@ -108,9 +108,9 @@
             await asyncio.wait([reader], timeout=LAST_LINES_TIMEOUT_S)
 
     def _start(self) -> None:
-        if self._request.restore_at is not None:
+        if self._request.previous_server is not None:
             self._context.counters.add("requests_restored")
-            self._attempts.run_in_place(SessionRestorer(self._served, self._request.restore_at).run())
+            self._attempts.run_in_place(SessionRestorer(self._served, self._request.previous_server).run())
         else:
             self._context.counters.add("requests")
             self._context.controller.post(RequestReceived(self._request_state))
--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -133,7 +133,7 @@
             return "more came before UP"
         if request.class_name not in self._context.class_indexes:
             return "class is unknown"
-        if request.restore_at is None and request.timeout_ms > MAX_WAIT_MS:  # a restored session waits for good
+        if request.previous_server is None and request.timeout_ms > MAX_WAIT_MS:  # a restored session waits for good
             return "field d is beyond belief"
         if not self._context.request_ids.register(request.request_id):
             return "the id came before"
--- a/stoatgw/clients/session_monitor.py
+++ b/stoatgw/clients/session_monitor.py
@@ -54,7 +54,7 @@
             if session.session_state.is_sending:
                 # The client takes nothing, so its server is not read: what it has answered by now is not known.
                 session.latency.pending.clear()
-            elif session.latency.oldest_pending_us(now_us) > UNANSWERED_TIMEOUT_US:
+            elif session.latency.oldest_pending_age_us(now_us) > UNANSWERED_TIMEOUT_US:
                 self._context.counters.add("sessions_unanswered")
                 session.latency.pending.clear()
                 session.relay.abandon_server()
--- a/stoatgw/line_protocol/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -49,7 +49,7 @@
     load_hint: float | None  # h
     is_client_retry: bool  # r
     is_returning: bool  # again
-    restore_at: str | None  # at: the session server on which the session was established before
+    previous_server: str | None  # at: the session server on which the session was established before
     tenant: str = ""  # t; "" if the line names none
     timeout_span: tuple[int, int] = (0, 0)  # where in the line the value of `d` is
 
@@ -133,7 +133,7 @@
         load_hint=float(fields["h"]) if "h" in fields else None,
         is_client_retry=fields.get("r") == "1",
         is_returning=fields.get("again") == "1",
-        restore_at=fields.get("at"),
+        previous_server=fields.get("at"),
         tenant=fields.get("t", ""),
         timeout_span=matches[b"d"].span(4),
     )
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -64,35 +64,35 @@
         is_aligned: What was given ends with a complete line, and not in the middle of one over the limit.
     """
 
-    __slots__ = ("_held", "is_aligned")
+    __slots__ = ("_partial_line", "is_aligned")
 
     def __init__(self) -> None:
-        self._held = b""
+        self._partial_line = b""
         self.is_aligned = True
 
     @property
-    def holds_data(self) -> bool:
+    def has_partial_line(self) -> bool:
         """Whether the beginning of a line has come, and not its end."""
-        return bool(self._held)
+        return bool(self._partial_line)
 
     def receive_data(self, data: bytes) -> bytes:
         """Add bytes and return those that may go on; b"" while no line is complete."""
         end = data.rfind(b"\n") + 1
-        if end == len(data) and not self._held:
+        if end == len(data) and not self._partial_line:
             self.is_aligned = True
             return data
         if not end and not self.is_aligned:
             return data
-        complete = self._held + data[:end] if end else b""
-        self._held = data[end:] if end else self._held + data
+        complete = self._partial_line + data[:end] if end else b""
+        self._partial_line = data[end:] if end else self._partial_line + data
         self.is_aligned = True
-        if len(self._held) > MAX_LINE_BYTES:
+        if len(self._partial_line) > MAX_LINE_BYTES:
             self.is_aligned = False
-            complete += self.take_held()
+            complete += self.flush()
         return complete
 
-    def take_held(self) -> bytes:
+    def flush(self) -> bytes:
         """Return, once, what is held: the stream has ended in the middle of a line."""
-        held = self._held
-        self._held = b""
-        return held
+        partial_line = self._partial_line
+        self._partial_line = b""
+        return partial_line
--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -26,7 +26,7 @@
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
 
 
-def cut(data: bytes, positions: list[int]) -> list[bytes]:
+def split_at(data: bytes, positions: list[int]) -> list[bytes]:
     ends = sorted({position % (len(data) + 1) for position in positions} | {0, len(data)})
     return [data[start:end] for start, end in itertools.pairwise(ends)]
 
@@ -37,7 +37,7 @@
     splitter = LineSplitter()
     lines = [text.encode() for text in texts]
     data = b"".join(line + b"\r\n" for line in lines) + b"rest"
-    assert [line for part in cut(data, positions) for line in splitter.receive_data(part)] == lines
+    assert [line for part in split_at(data, positions) for line in splitter.receive_data(part)] == lines
     assert splitter.trailing_data == b"rest"
 
 
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -16,7 +16,7 @@
 from stoatgw.management.routes import Operation, OperationRequest, parse_operation
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
-from tests.test_line_protocol import cut
+from tests.test_line_protocol import split_at
 
 FIXED = settings(derandomize=True, deadline=None, max_examples=150)
 DRAIN_REQUEST = b"POST /v1/proxy/drain?why=x HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
@@ -26,7 +26,7 @@
 @given(st.lists(st.integers(0, len(DRAIN_REQUEST))), st.binary(max_size=40))
 def test_a_request_parses_the_same_however_it_is_cut_and_whatever_follows(places: list[int], more: bytes) -> None:
     parser = HttpRequestParser()
-    results = [parser.feed(part) for part in cut(DRAIN_REQUEST, places)]
+    results = [parser.feed(part) for part in split_at(DRAIN_REQUEST, places)]
     assert results[-1] == HttpRequest("POST", "/v1/proxy/drain")
     assert not any(results[:-1])
     if more:
--- a/tests/test_session_crossings.py
+++ b/tests/test_session_crossings.py
@@ -25,7 +25,7 @@
 from stoatgw.service import shutdown
 from stoatgw.service.core import ProxyCore
 from stoatgw.sockets import tcp, transient, watches
-from tests.test_line_protocol import cut
+from tests.test_line_protocol import split_at
 from tests.test_service import make_core
 from tests.test_sessions import OPEN, LoopbackProxy, Serve, Streams, run_loopback, serve_echo
 
@@ -45,13 +45,13 @@
     data = b"\r\n".join(parts)
     aligner = LineAligner()
     given = b""
-    for piece in cut(data, places):
+    for piece in split_at(data, places):
         given += aligner.receive_data(piece)
         is_overlong = len(given) - (given.rfind(b"\n") + 1) > 0
         assert aligner.is_aligned != is_overlong
         assert data.startswith(given)
-        assert not aligner.holds_data or len(aligner._held) <= MAX_LINE_BYTES
-    assert given + aligner.take_held() == data
+        assert not aligner.has_partial_line or len(aligner._partial_line) <= MAX_LINE_BYTES
+    assert given + aligner.flush() == data
 
 
 async def _receive(sock: socket.socket) -> bytes:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -115,7 +115,7 @@
 
     async def wait_for_half_a_line(self) -> None:
         """Wait until half a line of the server of the only session has come."""
-        while not self.only_relay._server_lines.holds_data:
+        while not self.only_relay._server_lines.has_partial_line:
             await asyncio.sleep(0.005)
 
     async def wait_until_idle(self) -> None:
@@ -356,7 +356,7 @@
     two.record_sent([b"b", b"c"], 1_400_000)
     assert current_latency_ms([one, two], 1_500_000) == 100
     two.record_reply(b"b", 1_520_000)
-    assert (current_latency_ms([one, two], 1_520_000), two.oldest_pending_us(1_520_000)) == (120, 120_000)
+    assert (current_latency_ms([one, two], 1_520_000), two.oldest_pending_age_us(1_520_000)) == (120, 120_000)
     assert current_latency_ms([one], 3_000_000) == 0
 
 
