--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: a connection to a backend for one client. Its end is a value, never an exception."""
+"""One attempt to establish a client's session on a backend. Its outcome is a value, never an exception."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from stoatgw.sockets import tcp
 
 READ_SIZE_BYTES = 8192
-MAX_DISCARDED_BYTES = 1 << 30  # however many bytes a backend still sends: the timeout bounds them
+MAX_DISCARDED_BYTES = 1 << 30  # high enough that the timeout is reached first, whatever a backend still sends
 MAX_REASON_BYTES = 60
 
 STATUS_BY_FIRST_REPLY = {
@@ -34,10 +34,10 @@
 
 
 class RelayListener(Protocol):
-    """The client's side of an established session.
+    """The receiver of what the backend sends on an established session.
 
     Attributes:
-        last_keyword: The first word of the last complete line that the backend has sent.
+        last_keyword: The keyword of the backend's last complete line.
     """
 
     last_keyword: Keyword
@@ -48,14 +48,14 @@
 
 
 class Attempt:
-    """One attempt: `open`, then `relay` if it was established, then one of the ways to close."""
+    """One attempt: `open`, then `relay` if the session was established, then one of the methods that close."""
 
     __slots__ = (
         "_backend",
-        "_break_reason",
         "_clock",
         "_connect_timeout_us",
         "_drain_grace_us",
+        "_error_reason",
         "_on_sent",
         "_sock",
         "_splitter",
@@ -79,11 +79,11 @@
 
         Args:
             backend: The session server.
-            clock: What all deadlines are measured by.
-            connect_timeout_us: The time to connect in, if the deadline leaves as much.
+            clock: Measures all deadlines.
+            connect_timeout_us: The longest time that connecting may take; an earlier deadline shortens it.
             drain_grace_us: How long a draining backend still accepts requests.
-            to_load_report_row: Puts a load report in the order of the settings' columns.
-            on_sent: Called when the request has been sent to its last byte.
+            to_load_report_row: Converts a load report to a row in the order of the settings' columns.
+            on_sent: Called once the last byte of the request has been sent.
         """
         self._backend = backend
         self._clock = clock
@@ -93,57 +93,60 @@
         self._on_sent = on_sent
         self._sock: socket.socket | None = None
         self._splitter = LineSplitter()  # until UP
-        self._break_reason = ""
+        self._error_reason = ""
         self.stage = AttemptStage.CONNECTING
         self.established_data = b""
-        """The UP line and what came with it, byte for byte."""
+        """The UP line and what was received with it, byte for byte."""
         self.has_ended = False
-        """All that the backend sent on the established session is read, and its end."""
+        """All that the backend sent on the established session has been read, including the end of the stream."""
         self.was_reset = False
-        """The backend ended the established session with a reset."""
+        """The backend ended the established session with a TCP reset."""
 
     @property
     def descriptor(self) -> int | None:
-        """The descriptor of its connection; None before there is one."""
+        """The file descriptor of the connection; None before the socket is created."""
         return self._sock.fileno() if self._sock is not None else None
 
     async def open(
         self, encode_request: Callable[[int], bytes], deadline_us: int, send_before_us: int = 0
     ) -> AttemptEnd | None:
-        """Connect, send the request and wait for UP; None once the session is established.
+        """Connect, send the request and wait for UP.
 
         Args:
-            encode_request: Gives the request's line for the milliseconds that are left.
-            deadline_us: When the attempt is given up.
-            send_before_us: The request is not sent at that time or later; 0: at any time.
+            encode_request: Encodes the request's line, given the remaining time in milliseconds.
+            deadline_us: When the attempt times out.
+            send_before_us: The request is not sent at that time or later; 0 for no such limit.
+
+        Returns:
+            How the attempt ended; None if the session is established.
         """
         try:
             self._sock = tcp.create_socket()
-        except OSError as error:  # no descriptor is left: that says nothing about the backend
-            return self._end(AttemptStatus.UNUSED, str(error))
+        except OSError as error:  # such as no free descriptor: that says nothing about the backend
+            return self._make_end(AttemptStatus.UNUSED, str(error))
         try:
             timeout_us = min(self._connect_timeout_us, deadline_us - self._clock.now_us())
             async with asyncio.timeout(timeout_us / 1e6) as timeout:
                 await tcp.connect(self._sock, self._backend.address)
                 now_us = self._clock.now_us()
-                obstacle = self._find_obstacle(now_us, deadline_us, send_before_us)
-                if obstacle:
-                    return self._end(AttemptStatus.DIAL_FAILED, obstacle)
+                rejection_reason = self._find_rejection_reason(now_us, deadline_us, send_before_us)
+                if rejection_reason:
+                    return self._make_end(AttemptStatus.DIAL_FAILED, rejection_reason)
                 timeout.reschedule(asyncio.get_running_loop().time() + (deadline_us - now_us) / 1e6)
                 await self._send_request(self._sock, encode_request((deadline_us - now_us) // 1000))
                 return await self._receive_first_reply(self._sock)
         except TimeoutError:
             if self._has_unread_up():
                 return None
-            return self._end(self._failure_status(AttemptStatus.EXPIRED), "timed out")
+            return self._make_end(self._failure_status(AttemptStatus.EXPIRED), "timed out")
         except OSError as error:
-            return self._end(self._failure_status(AttemptStatus.DROPPED), str(error))
+            return self._make_end(self._failure_status(AttemptStatus.DROPPED), str(error))
 
     async def relay(self, listener: RelayListener) -> AttemptEnd:
-        """Forward all that an established session brings until the backend ends the connection."""
-        assert self._sock is not None, "relay comes after open"
+        """Forward what the backend sends on the established session until it ends the connection."""
+        assert self._sock is not None, "relay requires a successful open"
         try:
-            # No buffer is kept while nothing arrives: most sessions are idle most of the time.
+            # No buffer is allocated while nothing arrives: most sessions are idle most of the time.
             while data := await tcp.receive(self._sock, READ_SIZE_BYTES):
                 await listener.forward(data)
         except OSError as error:
@@ -151,31 +154,31 @@
         self.has_ended = True
         status = STATUS_BY_LAST_LINE.get(listener.last_keyword)
         if status is not None:
-            self.was_reset = False  # it announced its end: a reset behind that is no sign of a fault
-            return self._end(status, "ended by the backend")
-        return self._end(AttemptStatus.DROPPED, self._break_reason or "ended by the backend")
+            self.was_reset = False  # it announced the end: a reset after that is not a sign of a fault
+            return self._make_end(status, "closed by the backend")
+        return self._make_end(AttemptStatus.DROPPED, self._error_reason or "closed by the backend")
 
     def record_connection_error(self, error: OSError) -> None:
-        """Note that a call on the established session failed: which of its tasks the kernel tells is chance.
+        """Record that a call on the established session failed; which of its tasks gets the error is arbitrary.
 
-        EPIPE alone tells of a backend that has ended in an orderly way, before what was sent to it arrived.
+        Only EPIPE is not counted as a reset: the backend closed in an orderly way, before what was sent to it arrived.
         """
         if not isinstance(error, BrokenPipeError):
             self.was_reset = True
-        self._break_reason = self._break_reason or str(error)
+        self._error_reason = self._error_reason or str(error)
 
     def send(self, data: bytes) -> Awaitable[None]:
         """Send the client's bytes to the backend, with backpressure. Raises OSError when awaited."""
-        assert self._sock is not None, "only an established session is sent to"
+        assert self._sock is not None, "send requires an established session"
         return tcp.send_all(self._sock, data)
 
     def close(self, *, reset: bool = False) -> None:
-        """Close at once, with FIN or, if asked, with RST."""
+        """Close immediately, with FIN or, if `reset` is set, with RST."""
         if self._sock is not None:
             tcp.close(self._sock, reset=reset)
 
     def half_close(self) -> None:
-        """Shut down sending: what was sent still arrives, also while the backend's bytes are unread."""
+        """Shut down sending: what was sent is still delivered, even while bytes of the backend are unread."""
         if self._sock is not None:
             with contextlib.suppress(OSError):
                 tcp.shut_down_sending(self._sock)
@@ -185,14 +188,14 @@
         if self._sock is not None:
             await tcp.close_gracefully(self._sock, b"", timeout_s, MAX_DISCARDED_BYTES)
 
-    def _find_obstacle(self, now_us: int, deadline_us: int, send_before_us: int) -> str:
-        """Return why the request must not be sent any more, "" if it may: connecting takes time."""
+    def _find_rejection_reason(self, now_us: int, deadline_us: int, send_before_us: int) -> str:
+        """Return why the request must not be sent any more, as connecting took time; "" if it may be sent."""
         if send_before_us and now_us >= send_before_us:
-            return "too late to repeat"
+            return "too late for a retry"
         if not self._backend.accepts_new_sessions(now_us, self._drain_grace_us):
-            return "it left meanwhile"
+            return "the backend's drain grace has ended"
         if now_us >= deadline_us:
-            return "no time left"
+            return "the deadline has passed"
         return ""
 
     async def _send_request(self, sock: socket.socket, line: bytes) -> None:
@@ -206,45 +209,45 @@
         while not lines:
             data = await tcp.receive(sock, READ_SIZE_BYTES)
             if not data:
-                return self._end(AttemptStatus.DROPPED, "ended without a word")
+                return self._make_end(AttemptStatus.DROPPED, "closed without a reply")
             lines = self._receive_before_up(data)
             if not lines and self._splitter.is_overlong:
-                return self._end(AttemptStatus.APP_ERROR, "overlong line")
+                return self._make_end(AttemptStatus.APP_ERROR, "line too long")
         if self._accept_up(lines):
             return None
         reply = parse_reply(lines[0])
         status = STATUS_BY_FIRST_REPLY.get(reply.keyword, AttemptStatus.APP_ERROR)
-        return self._end(status, lines[0][:MAX_REASON_BYTES].decode("ascii", "replace"), reply.load_report)
+        return self._make_end(status, lines[0][:MAX_REASON_BYTES].decode("ascii", "replace"), reply.load_report)
 
     def _receive_before_up(self, data: bytes) -> list[bytes]:
         self.established_data += data
         return self._splitter.receive_data(data)
 
     def _accept_up(self, lines: list[bytes]) -> bool:
-        """Whether the first reply is UP; then the session is established."""
+        """Report whether the first reply is UP, which establishes the session."""
         if parse_reply(lines[0]).keyword is not Keyword.UP:
             return False
         self.stage = AttemptStage.ESTABLISHED
         return True
 
     def _has_unread_up(self) -> bool:
-        """Whether UP has come all the same as the wait for it timed out.
+        """Report whether UP was received after all when the wait for it timed out.
 
-        Both may happen in one iteration of the loop; closed over an UP that has come, a sound session would be cut off.
+        Both may happen in one iteration of the event loop; closing the connection would break an established session.
         """
         if self._sock is None or self.stage is not AttemptStage.SENT:
             return False
         try:
             data = tcp.receive_nowait(self._sock, READ_SIZE_BYTES)
-        except OSError:  # nothing has come
+        except OSError:  # nothing was received
             return False
         lines = self._receive_before_up(data)
         return bool(lines) and self._accept_up(lines)
 
     def _failure_status(self, status_if_sent: AttemptStatus) -> AttemptStatus:
-        """Return the status of a failed attempt: a request that was not sent to its last byte never ran."""
+        """Return the status of a failed attempt: a request whose last byte was not sent never ran."""
         return status_if_sent if self.stage is AttemptStage.SENT else AttemptStatus.DIAL_FAILED
 
-    def _end(self, status: AttemptStatus, reason: str, load_report: dict[str, float] | None = None) -> AttemptEnd:
+    def _make_end(self, status: AttemptStatus, reason: str, load_report: dict[str, float] | None = None) -> AttemptEnd:
         row = self._to_load_report_row(load_report) if load_report else ()
         return AttemptEnd(status, self.stage, reason, row)
--- a/stoatgw/backends/backend.py
+++ b/stoatgw/backends/backend.py
@@ -1,4 +1,4 @@
-"""Backends: the session servers that the endpoint list has named, and where they are."""
+"""Backends: the session servers that the endpoint list has contained, and their addresses."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
-DRAIN_GRACE_MARGIN_US = 100_000  # a request's first byte is sent so long before the drain grace ends, at the latest
+DRAIN_GRACE_MARGIN_US = 100_000  # a request's first byte is sent at least this long before the drain grace ends
 
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """An entry of the endpoint list: the endpoint as the decisions know it, and its address."""
+    """An entry of the endpoint list: the endpoint as the decisions use it, and its address."""
 
     endpoint: Endpoint
     host: str
@@ -21,27 +21,27 @@
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """A session server, as long as this process knows it."""
+    """A session server that the endpoint list contains, or has contained since this process started."""
 
     name: str
     host: str
     port: int
-    draining_since_us: int | None = None  # when this proxy was notified that it drains or is gone
+    draining_since_us: int | None = None  # when this proxy was notified that it drains or was removed
 
     @property
     def address(self) -> tuple[bytes, int]:
-        """For connecting: given as text, a host goes through the idna codec each time, a quarter of a connect."""
+        """The address to connect to; a host given as text is idna-encoded each time, a quarter of a connect."""
         return self.host.encode(), self.port
 
     def accepts_new_sessions(self, now_us: int, drain_grace_us: int) -> bool:
-        """Whether a request may still be sent: the backend is active, or its drain grace has not ended."""
+        """Report whether a request may still be sent: the backend is active, or its drain grace has not ended."""
         if self.draining_since_us is None:
             return True
         return now_us < self.draining_since_us + drain_grace_us - DRAIN_GRACE_MARGIN_US
 
 
 class BackendRegistry:
-    """All backends by name. One that is gone is kept: sessions may be established on it still."""
+    """All backends by name. A removed one is kept, as it may still have established sessions."""
 
     def __init__(self) -> None:
         self._backends: dict[str, Backend] = {}
@@ -52,16 +52,16 @@
 
     @property
     def has_endpoints(self) -> bool:
-        """Whether any was ever listed: before that nothing can be served."""
+        """Whether any endpoint was ever listed; until then no request can be served."""
         return bool(self._backends)
 
     def update(self, entries: Iterable[ListedEndpoint], *, is_snapshot: bool, now_us: int) -> list[Backend]:
-        """Apply entries of the endpoint list; return the backends that are draining or gone from now on.
+        """Apply entries of the endpoint list; return the backends that are newly draining or removed.
 
         Args:
             entries: The entries, with overrides applied.
-            is_snapshot: Whether they are the full list: a backend that is missing from it is gone.
-            now_us: When the update arrived.
+            is_snapshot: Whether they are the full list: a backend that is missing from it was removed.
+            now_us: When the update was received.
         """
         newly_draining: list[Backend] = []
         listed_names = set()
--- a/stoatgw/backends/health_check.py
+++ b/stoatgw/backends/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks: STATS on a connection to each backend that is kept open between checks."""
+"""Health checks: STATS requests on a connection to each backend, kept open between checks."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 from stoatgw.telemetry.log import RateLimitedLog
 
 HEALTH_CHECK_TIMEOUT_S = 0.5
-MAX_IDLE_CONNECTIONS = 24  # kept open between checks: others need the descriptors, too
+MAX_IDLE_CONNECTIONS = 24  # kept open between checks; limited, as sessions need descriptors, too
 READ_SIZE_BYTES = 4096
-# The names on the wire of the settings' report columns, where they differ.
+# Names on the wire of the settings' report columns, where the two differ.
 WIRE_NAMES = {
     "outstanding": "inflight",
     "backlog": "queue",
@@ -31,19 +31,19 @@
 
 
 class LoadReportSchema:
-    """The order in which the settings list a load report's columns."""
+    """The columns of a load report, in the order of the settings."""
 
     def __init__(self, columns: tuple[str, ...]) -> None:
         self._names = [(column, WIRE_NAMES.get(column, column)) for column in columns]
 
     def to_row(self, report: dict[str, float]) -> tuple[float | None, ...]:
-        """Return the report's values in the order of the columns, None for what is missing."""
+        """Return the report's values in the order of the columns, None for a missing one."""
         return tuple(report.get(wire_name, report.get(column)) for column, wire_name in self._names)
 
 
 @dataclass(slots=True, eq=False)
 class _Check:
-    """One health check in progress; `status` is its result if it fails now, and `reason` why it failed."""
+    """One health check in progress: `status` is its result if it fails now, `reason` why it failed."""
 
     backend: Backend
     started_us: int
@@ -76,7 +76,7 @@
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def check(self, backend: Backend) -> None:
-        """Start a check, unless one of this backend is in progress: its result serves both."""
+        """Start a check, unless one of this backend is in progress, whose result then counts for both."""
         running = self._tasks.get(backend.name)
         if running is not None and not running.done():
             return
@@ -104,7 +104,7 @@
             if check.status is not AttemptStatus.DIAL_FAILED:
                 check.status = AttemptStatus.EXPIRED
         except OSError as error:
-            check.reason = str(error)  # the status says how far the check had come
+            check.reason = str(error)  # `status` already says whether it failed while connecting
         finally:
             if check.reason:
                 self._log.event(
@@ -117,13 +117,13 @@
             self._queue.post(HealthCheckCompleted(backend.name, check.status, duration_us, check.load_report))
 
     async def _request_on_idle(self, check: _Check) -> Reply | None:
-        """Request a report on the idle connection; None if there is none, or it has ended.
+        """Request a report on the idle connection; return None if there is none, or it was closed.
 
-        That it has ended says nothing about the backend, which may close an idle connection just as it is used.
+        A closed connection says nothing about the backend, which may close an idle one just as it is reused.
         """
         if check.sock is None:
             return None
-        reason = "its idle connection had ended"
+        reason = "the idle connection was closed"
         try:
             if not _has_ended(check.sock):
                 return await _request_report(check.sock)
@@ -142,7 +142,7 @@
         return await _request_report(check.sock)
 
     def _record_reply(self, check: _Check, reply: Reply) -> None:
-        """Note the result, and keep the connection for the next check if it is of use."""
+        """Record the result, and keep the connection for the next check if it can be reused."""
         is_healthy = reply.keyword is Keyword.PONG
         check.status = AttemptStatus.DELIVERED if is_healthy else AttemptStatus.APP_ERROR
         if not is_healthy:
@@ -168,16 +168,16 @@
     while True:
         count = await tcp.receive_into(sock, buffer)
         if not count:
-            raise ConnectionError("ended without a word")
+            raise ConnectionError("closed without a reply")
         lines = splitter.receive_data(memoryview(buffer)[:count])
         if lines:
             return parse_reply(lines[0])
         if splitter.is_overlong:
-            raise ConnectionError("overlong line")
+            raise ConnectionError("line too long")
 
 
 def _has_ended(sock: socket.socket) -> bool:
-    """Whether an idle connection was closed, or holds bytes that answer no request."""
+    """Report whether an idle connection was closed, or contains bytes that reply to no request."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/tests/test_log_reasons.py
+++ b/tests/test_log_reasons.py
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize(
     ("answer", "failures"),
-    [(b"PONG x0=0.5\r\n", []), (b"ERR\r\n", ["answered ERR"]), (b"", ["ended without a word"])],
+    [(b"PONG x0=0.5\r\n", []), (b"ERR\r\n", ["answered ERR"]), (b"", ["closed without a reply"])],
 )
 def test_health_checks_that_fail_or_are_retried(answer: bytes, failures: list[str], events: Events) -> None:
     """The first leaves an idle connection, which ends at the second; that is retried on a new connection."""
@@ -104,7 +104,7 @@
 
     async def test(proxy: LoopbackProxy) -> None:
         await proxy.check_health_twice()
-        assert [event["why"] for event in named(events, "health_check_retried")] == ["ended without a word"]
+        assert [event["why"] for event in named(events, "health_check_retried")] == ["closed without a reply"]
         assert [event["why"] for event in named(events, "health_check_failed")] == failures
 
     run_loopback(serve, test)
