--- a/stoatgw/line_protocol/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -1,7 +1,7 @@
-"""The lines of the protocol: requests of clients, replies of session servers, the proxy's own answers. No sockets.
+"""Lines of the protocol, parsed and encoded without sockets; each side sends its own.
 
 client            OPEN id key name=value,...
-session server    UP ..., then lines of its own, LOAD number, MOVE, BYE; or BUSY, ERR
+session server    UP ..., then lines of the session, LOAD number, MOVE, BYE; or BUSY, ERR
 proxy             BUSY [milliseconds], ERR reason, MOVE, PONG
 """
 
@@ -18,43 +18,43 @@
 STATS = b"STATS"
 MOVE = b"MOVE"
 OPEN = b"OPEN"
-MAX_NUMBER = 2**53
+MAX_NUMBER = 2**53  # integers below it are exact as floats
 FLAG_VALUES = ("0", "1")
 
 _REQUEST_ID = re.compile(rb"[0-9a-fA-F]{16}\Z")
 _IDEMPOTENCY_KEY = re.compile(rb"[0-9a-fA-F]{1,16}\Z")
 _HEX = re.compile(r"[0-9a-fA-F]{1,16}\Z")
 _DIGITS = re.compile(r"[0-9]{1,15}\Z")
-_PLAIN_VALUE = rb"[!-+\--~]+"  # printable ASCII without blank and comma
+_PLAIN_VALUE = rb"[!-+\--~]+"  # printable ASCII except space and comma
 
 
 @dataclass(frozen=True, slots=True)
 class MalformedRequest:
-    """A client's line that cannot be served as it is, and why: the client's fault."""
+    """A client's first line that is not a valid request, and why; the client is at fault."""
 
     reason: str
-    class_name: str = ""  # the request's class, where the line could be parsed but is not acceptable
+    class_name: str = ""  # the request's class, if the line could be parsed but was not accepted
 
 
-@dataclass(slots=True)  # not frozen: that would triple the time to construct one, which each request does
+@dataclass(slots=True)  # not frozen: that would triple the time to construct one, once per request
 class SessionRequest:
-    """A client's first line."""
+    """A client's first line, which requests a session; the comments give the fields' names on the wire."""
 
     line: bytes
     request_id: str
     idempotency_key: int
     class_name: str  # c
     timeout_ms: int  # d: how long the client waits for UP
-    group: int | None  # g
-    load_hint: float | None  # h
-    is_client_retry: bool  # r
-    is_returning: bool  # again
+    group: int | None  # g: the group that the client belongs to
+    load_hint: float | None  # h: the work that the session may cause
+    is_client_retry: bool  # r: the client has sent the request before
+    is_returning: bool  # again: the client had a session before
     previous_server: str | None  # at: the session server on which the session was established before
-    tenant: str = ""  # t; "" if the line names none
-    timeout_span: tuple[int, int] = (0, 0)  # where in the line the value of `d` is
+    tenant: str = ""  # t; "" if the line has none
+    timeout_span: tuple[int, int] = (0, 0)  # start and end of the value of `d` in the line
 
     def encode(self, timeout_ms: int) -> bytes:
-        """Return the line for a session server: the client's own, with this timeout."""
+        """Encode the request for a session server: the client's line with this timeout."""
         start, end = self.timeout_span
         return b"%s%d%s\r\n" % (self.line[:start], timeout_ms, self.line[end:])
 
@@ -69,7 +69,7 @@
     BUSY = "BUSY"
     PONG = "PONG"
     LOAD = "LOAD"
-    OTHER = ""  # a line of the session itself; before UP a violation by the session server
+    OTHER = ""  # a line of the session itself; before UP a protocol violation by the session server
 
 
 _KEYWORDS = {keyword.value.encode(): keyword for keyword in Keyword if keyword is not Keyword.OTHER}
@@ -77,25 +77,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A line of a session server: its first word, and what follows."""
+    """A line of a session server: its keyword, and what follows."""
 
     keyword: Keyword
     fields: str = ""
 
     @property
     def load_report(self) -> dict[str, float]:
-        """The fields as numbers by name."""
+        """The numbers in the fields, by name."""
         return parse_load_report(self.fields)
 
 
 def field_pattern(names: Iterable[str] = ()) -> re.Pattern[bytes]:
-    """Return the pattern of one field where the settings name these classes and tenants.
+    """Return the pattern that matches one field.
 
-    Only those may hold blanks, commas or letters beyond ASCII: in any other value these make the line malformed.
-    The groups are name and value of a field with such a name (1, 2), or of any other field (3, 4).
+    Groups 1 and 2 are the name and the value of a field whose value is one of `names` and is not plain, groups 3 and 4
+    those of any other field.
+
+    Args:
+        names: The classes and tenants in the settings. Only their names may contain spaces, commas or non-ASCII
+            letters as a value; in any other value these make the line malformed.
     """
-    unusual = {name.encode() for name in names if name.isprintable() and not re.fullmatch(_PLAIN_VALUE, name.encode())}
-    longest_first = b"|".join(re.escape(name) for name in sorted(unusual, key=len, reverse=True))
+    special_names = {
+        name.encode() for name in names if name.isprintable() and not re.fullmatch(_PLAIN_VALUE, name.encode())
+    }
+    longest_first = b"|".join(re.escape(name) for name in sorted(special_names, key=len, reverse=True))
     named_field = b"([ct])=(%s)" % longest_first if longest_first else b"()()(?!)"
     return re.compile(b"(?:%s|([A-Za-z_][A-Za-z0-9_.-]*)=(%s))(?:,(?!\\Z)|\\Z)" % (named_field, _PLAIN_VALUE))
 
@@ -108,7 +114,7 @@
 
     Args:
         line: The line without its CRLF.
-        field: What `field_pattern` gave for the settings' names.
+        field: The pattern of a field, from `field_pattern` with the settings' names.
     """
     words = line.split(b" ", 3)
     if words[0] != OPEN or len(words) != 4:
@@ -140,7 +146,7 @@
 
 
 def _match_fields(line: bytes, start: int, field: re.Pattern[bytes]) -> dict[bytes, re.Match[bytes]] | None:
-    """Return the matches of the line's fields from `start` on, by name; None if a field is malformed or comes twice."""
+    """Return the matches of the line's fields from `start` on, by name; None if a field is malformed or repeated."""
     matches: dict[bytes, re.Match[bytes]] = {}
     position = start
     while position < len(line) or position == start:
@@ -156,7 +162,7 @@
 
 
 def _find_invalid_field(fields: dict[str, str]) -> str:
-    """Return what is wrong with the fields, "" if nothing is."""
+    """Return what is wrong with the fields; "" if they are valid."""
     if "c" not in fields or not _DIGITS.match(fields.get("d", "")):
         return "field c or d is missing or no number"
     if "g" in fields and not _HEX.match(fields["g"]):
@@ -177,10 +183,10 @@
 
 
 def parse_load_report(text: str) -> dict[str, float]:
-    """Parse `inflight=7,util=0.61`; what is not a number is omitted."""
+    """Parse a report such as `inflight=7,util=0.61`; what is not a number is omitted."""
     report: dict[str, float] = {}
-    for part in text.split(","):
-        name, separator, number = part.strip().partition("=")
+    for item in text.split(","):
+        name, separator, number = item.strip().partition("=")
         value = parse_number(number) if separator else None
         if name and value is not None:
             report[name] = value
@@ -188,7 +194,7 @@
 
 
 def parse_number(text: str) -> float | None:
-    """Return the number, None if the text is none, not finite or too large to be exact."""
+    """Parse a number; return None if the text is not a number, or if that is not finite or too large to be exact."""
     try:
         value = float(text)
     except ValueError:
@@ -197,7 +203,7 @@
 
 
 def encode_busy(retry_after_us: int) -> bytes:
-    """Encode the rejection, with the delay before a retry rounded up to milliseconds; 0: without one."""
+    """Encode BUSY, with the delay before a retry rounded up to milliseconds; with 0 the line has no delay."""
     if retry_after_us <= 0:
         return b"BUSY\r\n"
     retry_after_ms = (retry_after_us + 999) // 1000
@@ -205,5 +211,5 @@
 
 
 def encode_error(reason: str) -> bytes:
-    """Encode the answer to a request that cannot be served."""
+    """Encode ERR, the answer to a request that cannot be served."""
     return b"ERR " + reason.encode("ascii", "replace") + b"\r\n"
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -1,12 +1,12 @@
-"""A stream of bytes split into lines, however it was cut. No sockets."""
+"""Lines of a byte stream, however it is divided into reads. No sockets."""
 
 from __future__ import annotations
 
-MAX_LINE_BYTES = 4096  # its CRLF included
+MAX_LINE_BYTES = 4096  # including its CRLF
 
 
 class LineSplitter:
-    """Gives complete lines without their CRLF, and keeps the rest for later."""
+    """Splits a byte stream into complete lines without their CRLF, and buffers an incomplete one."""
 
     __slots__ = ("_buffer", "_max_line_bytes", "is_overlong")
 
@@ -14,20 +14,20 @@
         self._max_line_bytes = max_line_bytes
         self._buffer = bytearray()
         self.is_overlong = False
-        """A line exceeded the limit: nothing more is read."""
+        """Whether a line exceeded the limit; all data after that is ignored."""
 
     @property
     def trailing_data(self) -> bytes:
-        """What came after the last complete line."""
+        """The data after the last complete line."""
         return bytes(self._buffer)
 
     def receive_data(self, data: bytes | bytearray | memoryview) -> list[bytes]:
-        """Add bytes and return the lines that they complete."""
+        """Add data and return the lines that it completes."""
         if self.is_overlong:
             return []
         self._buffer += data
         if b"\n" not in self._buffer:
-            # A peer that never ends its line must not fill the memory.
+            # A peer that never ends its line must not exhaust the memory.
             self._check_length(len(self._buffer))
             return []
         *lines, self._buffer = self._buffer.split(b"\n")
@@ -40,7 +40,7 @@
         return complete
 
     def _check_length(self, size_bytes: int) -> bool:
-        """Return whether a line of this length is allowed; give the stream up if not."""
+        """Report whether a line of this length is allowed; if not, mark the stream as overlong."""
         if size_bytes > self._max_line_bytes:
             self.is_overlong = True
             self._buffer.clear()
@@ -48,20 +48,20 @@
 
 
 def split_lines(data: bytes) -> list[bytes]:
-    """Return the lines of bytes that end with a complete one, without their CRLF; an incomplete one is left out."""
+    """Split data into its complete lines without their CRLF; an incomplete one at the end is left out."""
     lines = data.split(b"\n")
     lines.pop()
     return [line[:-1] if line.endswith(b"\r") else line for line in lines]
 
 
 class LineAligner:
-    """Cuts a stream of bytes, unchanged, so that what it has given always ends with a complete line.
+    """Passes a byte stream on, unchanged, in pieces that end with a complete line.
 
-    What follows the last complete line is held until its line is complete. A line over the limit, which no peer may
-    send, is not held: it is given as it comes.
+    What follows the last complete line is held back until that line is complete. A line over the limit, which no peer
+    may send, is not held back but passed on as it is received.
 
     Attributes:
-        is_aligned: What was given ends with a complete line, and not in the middle of one over the limit.
+        is_aligned: Whether what was passed on ends with a complete line, not in the middle of one over the limit.
     """
 
     __slots__ = ("_partial_line", "is_aligned")
@@ -72,11 +72,11 @@
 
     @property
     def has_partial_line(self) -> bool:
-        """Whether the beginning of a line has come, and not its end."""
+        """Whether the beginning of a line is held back, as its end has not been received."""
         return bool(self._partial_line)
 
     def receive_data(self, data: bytes) -> bytes:
-        """Add bytes and return those that may go on; b"" while no line is complete."""
+        """Add data and return what can be passed on; b"" while no line is complete."""
         end = data.rfind(b"\n") + 1
         if end == len(data) and not self._partial_line:
             self.is_aligned = True
@@ -92,7 +92,7 @@
         return complete
 
     def flush(self) -> bytes:
-        """Return, once, what is held: the stream has ended in the middle of a line."""
+        """Return what is held back, which then is held no longer, as the stream has ended in the middle of a line."""
         partial_line = self._partial_line
         self._partial_line = b""
         return partial_line
--- a/tests/test_line_protocol.py
+++ b/tests/test_line_protocol.py
@@ -1,4 +1,4 @@
-"""The line protocol: random cuts of valid messages, and random garbage."""
+"""The line protocol: valid messages split at random positions, random garbage, and invalid fields."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 LINE = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59"
 LINE_HEAD = LINE.rpartition(b" ")[0]
-UNUSUAL_NAMES = ('Ticket "open"', "a,b", "øre", "x")
-FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+SPECIAL_NAMES = ('Ticket "open"', "a,b", "øre", "x")
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 
 
 def split_at(data: bytes, positions: list[int]) -> list[bytes]:
@@ -31,22 +31,22 @@
     return [data[start:end] for start, end in itertools.pairwise(ends)]
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(st.text(string.printable.replace("\n", "").replace("\r", ""))), st.lists(st.integers(0, 999)))
-def test_lines_are_the_same_however_they_are_cut(texts: list[str], positions: list[int]) -> None:
+def test_lines_are_the_same_however_the_stream_is_split(texts: list[str], positions: list[int]) -> None:
     splitter = LineSplitter()
     lines = [text.encode() for text in texts]
     data = b"".join(line + b"\r\n" for line in lines) + b"rest"
-    assert [line for part in split_at(data, positions) for line in splitter.receive_data(part)] == lines
+    assert [line for piece in split_at(data, positions) for line in splitter.receive_data(piece)] == lines
     assert splitter.trailing_data == b"rest"
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(st.binary(max_size=6000), max_size=4))
-def test_the_splitter_buffers_no_more_than_a_line(parts: list[bytes]) -> None:
+def test_the_splitter_buffers_at_most_one_line(pieces: list[bytes]) -> None:
     splitter = LineSplitter()
-    for part in parts:
-        assert all(len(line) < MAX_LINE_BYTES for line in splitter.receive_data(part))
+    for piece in pieces:
+        assert all(len(line) < MAX_LINE_BYTES for line in splitter.receive_data(piece))
         assert len(splitter.trailing_data) <= MAX_LINE_BYTES
 
 
@@ -57,7 +57,7 @@
     assert splitter.receive_data(b"c\r\n") == []
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(max_size=200))
 def test_garbage_is_malformed_and_never_raises(garbage: bytes) -> None:
     assert isinstance(parse_session_request(garbage), MalformedRequest)
@@ -65,7 +65,7 @@
     parse_reply(garbage)
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.integers(0, len(LINE) - 1), st.integers(0, 255))
 def test_a_line_with_one_byte_changed_is_parsed_or_malformed(position: int, byte: int) -> None:
     request = parse_session_request(LINE[:position] + bytes([byte]) + LINE[position + 1 :])
@@ -74,7 +74,7 @@
         assert len(request.request_id) == 16
 
 
-def test_a_forwarded_request_differs_in_its_timeout_only() -> None:
+def test_a_forwarded_request_differs_only_in_its_timeout() -> None:
     request = parse_session_request(LINE + b",again=1,h=3.5,x=y")
     assert isinstance(request, SessionRequest)
     assert request.class_name == "chat"
@@ -108,24 +108,24 @@
     assert request.tenant == tenant
 
 
-@pytest.mark.parametrize("name", UNUSUAL_NAMES)
-def test_names_of_the_settings_are_parsed_whatever_they_contain(name: str) -> None:
-    # Guards against every client of a tenant called "north east" being answered ERR.
+@pytest.mark.parametrize("name", SPECIAL_NAMES)
+def test_names_in_the_settings_are_parsed_whatever_they_contain(name: str) -> None:
+    # Guards against answering ERR to every client of a tenant whose name contains a space.
     fields = f"c={name},t={name},d=20,g=5c"
-    request = parse_session_request(LINE_HEAD + b" " + fields.encode(), field_pattern(UNUSUAL_NAMES))
+    request = parse_session_request(LINE_HEAD + b" " + fields.encode(), field_pattern(SPECIAL_NAMES))
     assert isinstance(request, SessionRequest)
     assert (request.class_name, request.tenant, request.timeout_ms) == (name, name, 20)
     assert request.encode(7) == LINE_HEAD + b" " + fields.replace("d=20", "d=7").encode() + b"\r\n"
 
 
 @pytest.mark.parametrize("name", ["north east", "a,b c", "ører", 'Ticket "open" d=5', "a,b,", "a,,b"])
-def test_no_other_value_may_contain_blanks_commas_or_more_than_ascii(name: str) -> None:
-    pattern = field_pattern(UNUSUAL_NAMES)
+def test_no_other_value_may_contain_spaces_commas_or_non_ascii_letters(name: str) -> None:
+    pattern = field_pattern(SPECIAL_NAMES)
     for fields in (f"c={name},d=20", f"c=x,d=20,t={name}", f"c=x,d=20,g={name}"):
         assert isinstance(parse_session_request(LINE_HEAD + b" " + fields.encode(), pattern), MalformedRequest)
 
 
-def test_a_reply_is_its_keyword_and_its_load_report() -> None:
+def test_a_reply_is_parsed_into_keyword_and_load_report() -> None:
     assert parse_reply(b"UP 77f").keyword is Keyword.UP
     assert parse_reply(b"BUSY inflight=7,util=0.61").load_report == {"inflight": 7, "util": 0.61}
     assert parse_reply(b"UPPER").keyword is Keyword.OTHER
@@ -135,5 +135,5 @@
 @pytest.mark.parametrize(
     ("retry_after_us", "line"), [(0, b"BUSY\r\n"), (1_500_000, b"BUSY 1500\r\n"), (1, b"BUSY 1\r\n")]
 )
-def test_a_rejection_rounds_its_delay_up_to_milliseconds(retry_after_us: int, line: bytes) -> None:
+def test_the_retry_delay_of_a_rejection_is_rounded_up_to_milliseconds(retry_after_us: int, line: bytes) -> None:
     assert encode_busy(retry_after_us) == line
