--- a/stoatgw/sockets/tcp.py
+++ b/stoatgw/sockets/tcp.py
@@ -1,4 +1,4 @@
-"""TCP sockets for asyncio: created, accepted, written and closed the way all connections here need it."""
+"""TCP sockets for asyncio: how all connections are created, accepted, read, written and closed."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from stoatgw.sockets.transient import (
     CONNECT_TRANSIENT_ERRNOS,
     SOCKET_TRANSIENT_ERRNOS,
-    TransientErrors,
-    call_at_once,
+    TransientRetries,
+    call_with_immediate_retries,
 )
 
-ACCEPT_RETRY_INTERVAL_S = 0.02  # after a failed accept, such as one for want of descriptors
-MAX_DISCARDED_BYTES = 1024 * 1024  # read and thrown away at a connection's end
-_DISCARD_BUFFER = bytearray(65536)  # shared by all: nobody looks at what is in it
-_LINGER_RESET = struct.pack("ii", 1, 0)
+ACCEPT_RETRY_INTERVAL_S = 0.02  # after a failed accept, such as one without a free descriptor
+MAX_DISCARDED_BYTES = 1024 * 1024  # read and discarded while a connection is closed
+_DISCARD_BUFFER = bytearray(65536)  # shared by all connections, as its content is never used
+_LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close sends RST
 
 Argument = TypeVar("Argument")
 Result = TypeVar("Result")
@@ -32,12 +32,14 @@
     """Create a non-blocking socket for connecting. Raises OSError."""
     sock = _create_tcp_socket()
     sock.setblocking(False)
-    call_at_once(sock.setsockopt, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    call_with_immediate_retries(sock.setsockopt, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def _create_tcp_socket() -> socket.socket:
-    return call_at_once(socket.socket, socket.AF_INET, socket.SOCK_STREAM, errnos=SOCKET_TRANSIENT_ERRNOS)
+    return call_with_immediate_retries(
+        socket.socket, socket.AF_INET, socket.SOCK_STREAM, errnos=SOCKET_TRANSIENT_ERRNOS
+    )
 
 
 @contextlib.contextmanager
@@ -54,7 +56,7 @@
     """Create a listening socket. Raises OSError."""
     sock = _create_tcp_socket()
     try:
-        call_at_once(sock.setsockopt, socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        call_with_immediate_retries(sock.setsockopt, socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
         sock.bind(address)
         sock.listen(backlog)
@@ -65,67 +67,69 @@
 
 
 async def connect(sock: socket.socket, address: tuple[str | bytes, int]) -> None:
-    """Connect, and again where the call failed for a moment: that says nothing about the peer. Raises OSError."""
-    failures: TransientErrors | None = None
+    """Connect, and retry after transient errors, which say nothing about the peer. Raises OSError."""
+    retries: TransientRetries | None = None
     while True:
         try:
             await _connect_once(sock, address)
         except OSError as error:
-            failures = failures or TransientErrors(CONNECT_TRANSIENT_ERRNOS)
-            await failures.wait(error)
+            retries = retries or TransientRetries(CONNECT_TRANSIENT_ERRNOS)
+            await retries.wait(error)
         else:
             return
 
 
 async def _connect_once(sock: socket.socket, address: tuple[str | bytes, int]) -> None:
-    """Connect. Raises OSError.
+    """Connect without retries, and check that the socket is connected. Raises OSError.
 
-    The loop takes a call that failed with EINTR or EAGAIN to be in progress, and an unconnected socket to be connected.
+    The event loop takes a connect that failed with EINTR or EAGAIN for one in progress, and then reports the socket as
+    connected although it is not.
     """
     await asyncio.get_running_loop().sock_connect(sock, address)
     try:
         sock.getpeername()
     except OSError:
-        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or errno.EAGAIN  # or a reset has come since
+        # SO_ERROR is set if the peer has reset the connection since.
+        error_number = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or errno.EAGAIN
         raise OSError(error_number, os.strerror(error_number)) from None
 
 
 def receive(sock: socket.socket, max_bytes: int) -> Awaitable[bytes]:
     """Wait for bytes and return them; b"" at the end of the stream. Raises OSError when awaited.
 
-    The loop's own sock_recv reads in one iteration and returns in the next: cancelled between the two, it loses what
-    it has read. A task that is cancelled in here has read nothing.
+    asyncio's `loop.sock_recv` reads in one iteration of the event loop and returns in the next: if cancelled between
+    the two, it loses what it has read. A task that is cancelled in this function has read nothing.
     """
     return _call_when_readable(sock, sock.recv, max_bytes)
 
 
 def receive_into(sock: socket.socket, buffer: bytearray) -> Awaitable[int]:
-    """Wait for bytes, put them into the buffer and return their count, as `receive` does."""
+    """Wait for bytes as `receive` does, write them to the buffer and return their count."""
     return _call_when_readable(sock, sock.recv_into, buffer)
 
 
 async def _call_when_readable(sock: socket.socket, read: Callable[[Argument], Result], argument: Argument) -> Result:
-    failures: TransientErrors | None = None
+    retries: TransientRetries | None = None
     while True:
         try:
-            with watches.ReadableWatch(sock) as told:  # not in a coroutine of its own: most sessions rest here
-                await told
+            with watches.ReadableWatch(sock) as notified:  # inline, as most sessions wait here: saves a coroutine each
+                await notified
             return read(argument)
         except (BlockingIOError, InterruptedError):
             continue
         except OSError as error:
-            failures = failures or TransientErrors()
-            await failures.wait(error)
+            retries = retries or TransientRetries()
+            await retries.wait(error)
 
 
 async def send_all(sock: socket.socket, data: bytes) -> None:
-    """Send all; a caller that is cancelled or gets an exception in here has not sent the last byte. Raises OSError.
+    """Send all data; if this is cancelled or raises, the last byte has not been sent. Raises OSError.
 
-    The loop's own sock_sendall may write in one iteration and return in the next: a timeout between the two
-    would make a line that may run look like one that never ran.
+    asyncio's `loop.sock_sendall` may write in one iteration of the event loop and return in the next: after a timeout
+    between the two, a request that may run would look like one that never ran.
     """
     unsent: bytes | memoryview = data
-    failures: TransientErrors | None = None
+    retries: TransientRetries | None = None
     while True:
         try:
             count = _send_nowait(sock, unsent)
@@ -134,12 +138,12 @@
             unsent = memoryview(unsent)[count:]
             await watches.wait_writable(sock)
         except OSError as error:
-            failures = failures or TransientErrors()
-            await failures.wait(error)
+            retries = retries or TransientRetries()
+            await retries.wait(error)
 
 
 def _send_nowait(sock: socket.socket, data: bytes | memoryview) -> int:
-    """Send what can be sent now; return the count of bytes. Raises OSError."""
+    """Send what can be sent without waiting; return the count of bytes. Raises OSError."""
     try:
         return sock.send(data)
     except (BlockingIOError, InterruptedError):
@@ -147,7 +151,7 @@
 
 
 async def accept(listener: socket.socket) -> socket.socket:
-    """Wait for the next connection, and again if another process accepted it first. Raises OSError."""
+    """Accept the next connection; if another process accepts it first, wait again. Raises OSError."""
     while True:
         await watches.wait_readable(listener)
         with contextlib.suppress(BlockingIOError, InterruptedError):
@@ -155,35 +159,35 @@
 
 
 def accept_nowait(listener: socket.socket) -> socket.socket:
-    """Accept a connection that is waiting. Raises OSError, BlockingIOError where there is none."""
+    """Accept a pending connection. Raises OSError, or BlockingIOError if there is none."""
     sock, _ = listener.accept()
     sock.setblocking(False)
-    with contextlib.suppress(OSError):  # the peer has gone already, as the first read will show
-        call_at_once(sock.setsockopt, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    with contextlib.suppress(OSError):  # the peer has already disconnected, as the first read will show
+        call_with_immediate_retries(sock.setsockopt, socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
 def shut_down_sending(sock: socket.socket) -> None:
-    """Tell the peer that nothing more comes; it may still send. Raises OSError, for a connection that is broken."""
-    call_at_once(sock.shutdown, socket.SHUT_WR)
+    """Shut down sending; the peer may still send. Raises OSError if the connection is broken."""
+    call_with_immediate_retries(sock.shutdown, socket.SHUT_WR)
 
 
 def receive_nowait(sock: socket.socket, max_bytes: int) -> bytes:
-    """Return what is there to be read; b"" at the end of the stream. Raises OSError, BlockingIOError for nothing."""
-    return call_at_once(sock.recv, max_bytes)
+    """Return what can be read now; b"" at the end of the stream. Raises OSError, or BlockingIOError for nothing."""
+    return call_with_immediate_retries(sock.recv, max_bytes)
 
 
 def shut_down(sock: socket.socket) -> None:
-    """End both directions, which wakes whoever waits on the socket. Never raises."""
+    """Shut down both directions, which wakes all tasks that wait on the socket. Never raises."""
     with contextlib.suppress(OSError):
-        call_at_once(sock.shutdown, socket.SHUT_RDWR)
+        call_with_immediate_retries(sock.shutdown, socket.SHUT_RDWR)
 
 
 def close(sock: socket.socket, *, reset: bool = False) -> None:
-    """Close at once, with FIN or, if asked, with RST. Never raises."""
+    """Close immediately, with FIN or, if `reset` is set, with RST. Never raises."""
     with contextlib.suppress(OSError):
         if reset:
-            call_at_once(sock.setsockopt, socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
+            call_with_immediate_retries(sock.setsockopt, socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
     with contextlib.suppress(OSError):
         sock.close()
 
@@ -193,8 +197,8 @@
 ) -> None:
     """Send a last line, shut down sending, and close when the peer has done the same. Never raises OSError.
 
-    A plain close over unread bytes would reset the connection, which could take the line with it. But a peer
-    that sends without end gets only so many bytes and so much time.
+    A plain close with unread bytes would reset the connection, and the peer could lose the last line. Against a peer
+    that never stops sending, `timeout_s` limits the wait and `max_discarded_bytes` what is read meanwhile.
     """
     remaining_bytes = max_discarded_bytes
     try:
@@ -211,10 +215,10 @@
 
 
 def send_and_close(sock: socket.socket, last_line: bytes) -> None:
-    """Send a last line and close at once, where no descriptor can be spared for a graceful close. Never raises."""
+    """Send a last line and close immediately, when no descriptor is free for a graceful close. Never raises."""
     with contextlib.suppress(OSError):
-        call_at_once(sock.send, last_line)
+        call_with_immediate_retries(sock.send, last_line)
         for _ in range(MAX_DISCARDED_BYTES // len(_DISCARD_BUFFER)):  # unread bytes would turn the close into a reset
-            if not call_at_once(sock.recv_into, _DISCARD_BUFFER):
+            if not call_with_immediate_retries(sock.recv_into, _DISCARD_BUFFER):
                 break
     close(sock)
--- a/stoatgw/sockets/watches.py
+++ b/stoatgw/sockets/watches.py
@@ -1,4 +1,4 @@
-"""Waits for the next event of a socket, with watches of the event loop that outlive no event."""
+"""Wait for a socket's next event, with a watch in the event loop that is removed at that event."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 
 class _Watch(ABC):
-    """Has the loop watch a socket until its next event, within `with`; no watch outlives an event.
+    """A watch of a socket in the event loop, until the socket's next event or the end of the `with` block.
 
-    When a connection breaks, uvloop tells its watches once and drops them, without a word: what came with the break,
-    or a call that fails for a moment just then, would be the last that a lasting watch is told of. Its entry for the
-    socket is of no use until a watch is removed, which therefore happens in the very step that tells of the event.
+    When a connection breaks, uvloop notifies its watches once and drops them silently. A watch that was kept beyond an
+    event would never be notified again: its task would hang if it read only data that arrived with the break, or if its
+    call failed with a transient error just then. uvloop's entry for the socket is unusable until a watch is removed, so
+    it is removed in the callback that reports the event.
 
-    The loop is given the socket, not its descriptor: uvloop then keeps it open until the watch is removed, as closing
-    a descriptor that the loop polls ends the process.
+    The loop is passed the socket, not its descriptor, so that uvloop keeps it open until the watch is removed: closing
+    a descriptor that the loop polls aborts the process.
     """
 
     __slots__ = ("_is_watching", "_ready", "_sock")
@@ -48,7 +49,7 @@
 
 
 class ReadableWatch(_Watch):
-    """A watch for something to read or to accept, or for an end."""
+    """A watch for data to read, a connection to accept, or the end of the stream."""
 
     __slots__ = ()
 
@@ -60,7 +61,7 @@
 
 
 class WritableWatch(_Watch):
-    """A watch for room to write, or for a break."""
+    """A watch for space in the send buffer, or a broken connection."""
 
     __slots__ = ()
 
@@ -72,19 +73,19 @@
 
 
 async def wait_readable(sock: socket.socket, ready: asyncio.Future[None] | None = None) -> None:
-    """Wait until there is something to read or to accept; nothing is consumed. Raises OSError if it cannot be watched.
+    """Wait until a read or an accept would not block; nothing is consumed. Raises OSError if the watch cannot be added.
 
-    The loop's own sock_accept would lose what it had accepted if it were cancelled in the same iteration.
+    asyncio's `loop.sock_accept` would lose an accepted connection if cancelled in the same iteration of the event loop.
 
     Args:
         sock: The socket.
-        ready: What is waited for, for a caller that ends the wait by setting it.
+        ready: The future to wait for, from a caller that ends the wait by setting its result; None to create one.
     """
-    with ReadableWatch(sock, ready) as told:
-        await told
+    with ReadableWatch(sock, ready) as notified:
+        await notified
 
 
 async def wait_writable(sock: socket.socket) -> None:
-    """Wait until there is room to write, or a break to be found. Raises OSError if it cannot be watched."""
-    with WritableWatch(sock) as told:
-        await told
+    """Wait until a write would not block, or would raise. Raises OSError if the watch cannot be added."""
+    with WritableWatch(sock) as notified:
+        await notified
--- a/tests/test_socket_watches.py
+++ b/tests/test_socket_watches.py
@@ -1,7 +1,8 @@
-"""Wherever the proxy waits on a socket: an end that is told once is read, and a call may fail for a moment.
+"""All code that waits on a socket: a reset is read immediately, and calls with transient errors are retried.
 
-The event loop drops the watches of a connection that breaks. Each place that reads gets a reset in one turn with half
-a message, and reads it at once, not at its timeout; in a second run of each, that read fails for a moment.
+The event loop drops the watches of a connection that breaks, after notifying them once. Each reader therefore gets a
+reset together with half a message, and has to read both immediately, not after its timeout; in further runs that read
+first fails with a transient error.
 """
 
 from __future__ import annotations
@@ -29,33 +30,33 @@
 from tests.test_session_crossings import FLOOD
 from tests.test_sessions import LoopbackProxy, run_loopback, serve_echo
 
-NEVER_S = 60.0  # a timeout that the tests' own comes before
-MOMENTARY = ["EINTR", "EAGAIN", "ENOBUFS", "ENOMEM"]
+LONG_TIMEOUT_S = 60.0  # longer than the tests' own timeout
+TRANSIENT_ERRORS = ["EINTR", "EAGAIN", "ENOBUFS", "ENOMEM"]
 
 
-@pytest.fixture(params=["", *MOMENTARY])
+@pytest.fixture(params=["", *TRANSIENT_ERRORS])
 def failing_recv(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Has the read of each connection's end fail once, or not at all."""
+    """Make the read of each connection's end fail once with a transient error, or not at all."""
     if request.param:
         fail_calls(monkeypatch, "recv", request.param)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
-    async def bounded() -> None:
-        async with asyncio.timeout(10):  # reached by a wait that has no end
+    async def run_with_timeout() -> None:
+        async with asyncio.timeout(10):  # exceeded if a wait never ends
             await test()
 
-    uvloop.run(bounded())
+    uvloop.run(run_with_timeout())
 
 
 @contextlib.contextmanager
-def listening() -> Iterator[socket.socket]:
+def open_listener() -> Iterator[socket.socket]:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         yield listener
 
 
-async def break_off(listener: socket.socket, data: bytes) -> None:
-    """Accepts a connection, reads, and then sends bytes and resets the connection in one step."""
+async def send_and_reset(listener: socket.socket, data: bytes) -> None:
+    """Accept a connection, read from it, then send data and reset the connection in one iteration of the loop."""
     loop = asyncio.get_running_loop()
     listener.setblocking(False)
     peer, _ = await loop.sock_accept(listener)
@@ -65,50 +66,52 @@
 
 
 @pytest.mark.usefixtures("failing_recv")
-def test_a_watch_of_the_list_that_breaks_off() -> None:
+def test_an_endpoint_list_watch_reads_a_reset_immediately() -> None:
     async def test() -> None:
-        with listening() as listener:
-            breaking = asyncio.create_task(break_off(listener, b"HTTP/1.1 200 OK\r\n"))
+        with open_listener() as listener:
+            resetting = asyncio.create_task(send_and_reset(listener, b"HTTP/1.1 200 OK\r\n"))
             with pytest.raises(ConnectionResetError):
                 await WatchCall(lambda _call, _item: True).receive(Address(*listener.getsockname()), None)
-            await breaking
+            await resetting
 
     run(test)
 
 
 @pytest.mark.usefixtures("failing_recv")
-def test_a_call_of_the_coordination_engine_that_breaks_off() -> None:
+def test_a_coordination_engine_call_reads_a_reset_immediately() -> None:
     async def test() -> None:
-        with listening() as listener:
-            breaking = asyncio.create_task(break_off(listener, b"HTTP/1.1 200 OK\r\n"))
-            result = await CoordinationClient([Address(*listener.getsockname())], NEVER_S).call("/v3/kv/range", {})
+        with open_listener() as listener:
+            resetting = asyncio.create_task(send_and_reset(listener, b"HTTP/1.1 200 OK\r\n"))
+            result = await CoordinationClient([Address(*listener.getsockname())], LONG_TIMEOUT_S).call(
+                "/v3/kv/range", {}
+            )
             assert isinstance(result, CallFailure)
             assert "ConnectionResetError" in result.reason
-            await breaking
+            await resetting
 
     run(test)
 
 
-def test_a_call_of_the_coordination_engine_whose_connection_times_out_may_have_run(
+def test_a_coordination_engine_call_whose_connection_times_out_may_have_run(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The kernel gives the connection up once the call is sent: carried out elsewhere, it could happen twice."""
+    """The kernel times the connection out after the call was sent: repeated elsewhere, the call could run twice."""
     fail_calls(monkeypatch, "recv", "ETIMEDOUT")
 
     async def test() -> None:
-        with listening() as listener:
-            breaking = asyncio.create_task(break_off(listener, b"HTTP/1.1 200 OK\r\n"))
-            result = await CoordinationClient([Address(*listener.getsockname())], NEVER_S).call("/v3/kv/txn", {})
+        with open_listener() as listener:
+            resetting = asyncio.create_task(send_and_reset(listener, b"HTTP/1.1 200 OK\r\n"))
+            result = await CoordinationClient([Address(*listener.getsockname())], LONG_TIMEOUT_S).call("/v3/kv/txn", {})
             assert isinstance(result, CallFailure)
             assert result.may_have_run
-            await breaking
+            await resetting
 
     run(test)
 
 
 @pytest.mark.usefixtures("failing_recv")
-def test_an_operators_call_that_breaks_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("stoatgw.management.listener.REQUEST_TIMEOUT_S", NEVER_S)
+def test_a_management_request_reads_a_reset_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("stoatgw.management.listener.REQUEST_TIMEOUT_S", LONG_TIMEOUT_S)
 
     async def test() -> None:
         listener = ManagementListener(StubManagementApi(), EventLog("test"), Counters())
@@ -127,8 +130,8 @@
 
 
 @pytest.mark.usefixtures("failing_recv")
-def test_a_health_check_that_breaks_off(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("stoatgw.backends.health_check.HEALTH_CHECK_TIMEOUT_S", NEVER_S)
+def test_a_health_check_reads_a_reset_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("stoatgw.backends.health_check.HEALTH_CHECK_TIMEOUT_S", LONG_TIMEOUT_S)
 
     async def serve(_reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         peer = socket.socket(fileno=writer.get_extra_info("socket").fileno())
@@ -144,8 +147,8 @@
     run_loopback(serve, test)
 
 
-def test_a_client_that_resets_while_its_server_takes_nothing() -> None:
-    """Its bytes are not read meanwhile, and so neither is its end."""
+def test_a_client_reset_is_noticed_while_its_server_reads_nothing() -> None:
+    """The relay reads nothing from the client meanwhile, so that the session monitor has to notice the reset."""
     has_ended = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -171,13 +174,13 @@
         assert proxy.only_relay._is_sending_to_server
         monitor = SessionMonitor(proxy.context)
         monitor.check_sessions(reports_latency=False)
-        assert not proxy.only_relay._state.has_ended  # it has not reset its connection yet
+        assert not proxy.only_relay._state.has_ended  # the client has not reset its connection yet
         sock = writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, tcp._LINGER_RESET)
         writer.transport.abort()
         await asyncio.sleep(0.05)
         monitor.check_sessions(reports_latency=False)
-        assert not proxy.only_relay._state.has_ended  # its server may only be slow, and its last lines still wait
+        assert not proxy.only_relay._state.has_ended  # its server may only be slow, and last lines are unsent
         monitor.check_sessions(reports_latency=False)
         await has_ended.wait()
         await proxy.wait_until_idle()
@@ -189,12 +192,12 @@
 @pytest.mark.parametrize(
     ("call", "error"),
     [
-        *itertools.product(["accept", "connect", "setsockopt"], MOMENTARY),
+        *itertools.product(["accept", "connect", "setsockopt"], TRANSIENT_ERRORS),
         ("connect", "EADDRNOTAVAIL"),
         ("connect", "ENETUNREACH"),
     ],
 )
-def test_clients_are_served_though_a_call_of_the_start_fails_once(
+def test_clients_are_served_if_a_call_that_starts_a_connection_fails_once(
     call: str, error: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fail_calls(monkeypatch, call, error)
@@ -213,33 +216,31 @@
 
 
 @pytest.mark.parametrize("error", ["ENFILE", "ENOBUFS", "ENOMEM"])
-def test_a_socket_that_cannot_be_created_for_a_moment_is_created_all_the_same(
-    error: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_creating_a_socket_is_retried_after_a_transient_error(error: str, monkeypatch: pytest.MonkeyPatch) -> None:
     fail_calls(monkeypatch, "socket", error)
     tcp.create_socket().close()
-    monkeypatch.setattr(FailingSocket, "creations", 0)
+    monkeypatch.setattr(FailingSocket, "creation_count", 0)
     tcp.create_listener(("127.0.0.1", 0), 1).close()
 
 
-@pytest.mark.parametrize("error", MOMENTARY)
+@pytest.mark.parametrize("error", TRANSIENT_ERRORS)
 @pytest.mark.parametrize("call", ["recv", "shutdown"])
-def test_a_call_that_nobody_can_wait_for_is_repeated_at_once(
+def test_a_call_whose_caller_cannot_wait_is_retried_immediately(
     call: str, error: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fail_calls(monkeypatch, call, error)
-    with listening() as listener, socket.create_connection(listener.getsockname()) as ours:
-        theirs, _ = listener.accept()
-        ours.setblocking(False)
-        with theirs:
-            theirs.send(b"UP 77\r\n")
-            theirs.close()
-            assert tcp.receive_nowait(ours, 100) == b"UP 77\r\n"
-            tcp.shut_down(ours)
-            assert ours.recv(100) == b""
-
-
-def test_a_backlog_that_cannot_be_asked_for_does_not_end_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
+    with open_listener() as listener, socket.create_connection(listener.getsockname()) as local:
+        remote, _ = listener.accept()
+        local.setblocking(False)
+        with remote:
+            remote.send(b"UP 77\r\n")
+            remote.close()
+            assert tcp.receive_nowait(local, 100) == b"UP 77\r\n"
+            tcp.shut_down(local)
+            assert local.recv(100) == b""
+
+
+def test_a_failed_backlog_query_does_not_abort_closing_the_listener(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(_listener: socket.socket) -> bool:
         raise OSError(errno.ENOMEM, "no memory")
 
@@ -250,14 +251,14 @@
     run_loopback(serve_echo, test)
 
 
-def test_a_server_that_resets_as_it_accepts_is_not_connected_to_again() -> None:
+def test_a_server_that_resets_when_it_accepts_gets_no_second_connection() -> None:
     async def test() -> None:
-        with listening() as listener:
+        with open_listener() as listener:
             with tcp.open_socket() as sock:
                 connecting = asyncio.create_task(tcp.connect(sock, listener.getsockname()))
                 peer, _ = await asyncio.get_running_loop().sock_accept(listener)
                 tcp.close(peer, reset=True)
-                with contextlib.suppress(ConnectionResetError):  # if it comes before the task has run
+                with contextlib.suppress(ConnectionResetError):  # raised if the reset is received before the task runs
                     await connecting
             listener.setblocking(False)
             await asyncio.sleep(0.05)
@@ -268,9 +269,7 @@
 
 
 @pytest.mark.parametrize("error", ["ENOMEM", "ENOBUFS"])
-def test_a_socket_that_cannot_be_watched_for_a_moment_is_watched_later(
-    error: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_watching_a_socket_is_retried_after_a_transient_error(error: str, monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         loop = asyncio.get_running_loop()
         failures = [OSError(getattr(errno, error), "no memory")]
@@ -282,30 +281,30 @@
             add(self, loop)
 
         monkeypatch.setattr(watches.ReadableWatch, "_add", fail_first)
-        ours, theirs = socket.socketpair()
-        with ours, theirs:
-            ours.setblocking(False)
-            loop.call_later(0.05, theirs.send, b"line\r\n")
-            assert await tcp.receive(ours, 100) == b"line\r\n"
+        local, remote = socket.socketpair()
+        with local, remote:
+            local.setblocking(False)
+            loop.call_later(0.05, remote.send, b"line\r\n")
+            assert await tcp.receive(local, 100) == b"line\r\n"
 
     run(test)
 
 
-def test_a_write_may_wait_in_the_turn_in_which_a_break_is_told_to_a_reader() -> None:
-    """The loop's entry of a broken socket is of no use until its watch is removed: a write would fail on it."""
+def test_a_write_can_wait_in_the_iteration_that_notifies_a_reader_of_a_reset() -> None:
+    """The loop's entry for a broken socket is unusable until its watch is removed: waiting to write would fail."""
 
     async def test() -> None:
-        with listening() as listener:
-            ours = socket.create_connection(listener.getsockname())
-            theirs, _ = listener.accept()
-            with ours:
-                ours.setblocking(False)
-                told = asyncio.get_running_loop().create_future()
+        with open_listener() as listener:
+            local = socket.create_connection(listener.getsockname())
+            remote, _ = listener.accept()
+            with local:
+                local.setblocking(False)
+                notified = asyncio.get_running_loop().create_future()
                 waiting: list[asyncio.Task[None]] = []
-                told.add_done_callback(lambda _: waiting.append(asyncio.create_task(watches.wait_writable(ours))))
-                reading = asyncio.create_task(watches.wait_readable(ours, told))
+                notified.add_done_callback(lambda _: waiting.append(asyncio.create_task(watches.wait_writable(local))))
+                reading = asyncio.create_task(watches.wait_readable(local, notified))
                 await asyncio.sleep(0.01)
-                tcp.close(theirs, reset=True)
+                tcp.close(remote, reset=True)
                 await reading
                 await waiting[0]
 
