--- a/stoatgw/discovery/backoff.py
+++ b/stoatgw/discovery/backoff.py
@@ -1,10 +1,10 @@
-"""When to call discovery again: pure, with the random generator handed in.
+"""Delays between calls to discovery. Pure: the random generator is passed in.
 
-A change counts as notified 6 s after discovery had it, whatever call failed or was rejected: no delay may be longer
-than what the calls themselves leave of that. Where discovery is polled, all proxies may lose their watch in the
-same moment, and a server that gets more calls than it can answer answers hardly any: in a large fleet each proxy
-therefore draws its delay from a range that doubles. Where lists are pushed, an agent on the proxy's own machine
-answers, at no cost.
+A proxy counts as notified of a change 6 s after discovery had it, whichever calls failed or were rejected: no delay may
+be longer than what the calls themselves leave of that time. If discovery is polled, all proxies may lose their watch at
+the same moment, and a server that gets more calls than it can answer answers hardly any of them: in a large fleet each
+proxy therefore draws its delay from a range that doubles. If lists are pushed, an agent on the proxy's own machine
+answers, and calls cost discovery nothing.
 """
 
 from __future__ import annotations
@@ -12,15 +12,17 @@
 import random
 
 NOTIFICATION_DEADLINE_S = 6.0
-"""A change counts as notified so long after discovery had it."""
+"""A proxy counts as notified of a change this long after discovery had it."""
 
 INITIAL_DELAY_S = 0.1
 MAX_PUSHED_DELAY_S = 0.4
 MAX_POLLED_DELAY_S = 1.0
-PUSHED_RESPONSE_TIMEOUT_S = 1.0  # an agent answers at once
+PUSHED_RESPONSE_TIMEOUT_S = 1.0  # an agent answers immediately
 POLLED_RESPONSE_TIMEOUT_S = 1.4  # discovery, polled by a large fleet, answers within 2 s
-OVERLOAD_DELAY_DIVISOR = 2  # an overloaded discovery is spared at least this part of the longest delay
-SMALL_FLEET_PROXIES = 8  # so many proxies call at once; a larger fleet spreads its first calls
+OVERLOAD_DELAY_DIVISOR = (
+    2  # if discovery is overloaded, the unjittered delay is at least the longest one divided by this
+)
+SMALL_FLEET_PROXIES = 8  # up to this many may call at the same time; a larger fleet spreads its first calls
 SPREAD_PER_PROXY_S = 0.025
 MAX_SPREAD_S = 2.0  # well within NOTIFICATION_DEADLINE_S
 JITTER_FRACTION = 0.5
@@ -35,7 +37,7 @@
         Args:
             proxies: How many proxies the fleet has.
             rng: Where jitter is drawn from.
-            pushed: Whether an agent on this machine pushes the list, instead of discovery being polled by the fleet.
+            pushed: Whether an agent on this machine pushes the list; otherwise the fleet polls discovery.
         """
         self._rng = rng
         self._is_jittered = proxies > SMALL_FLEET_PROXIES and not pushed
@@ -43,7 +45,7 @@
         self._max_base_delay_s = MAX_PUSHED_DELAY_S if pushed else MAX_POLLED_DELAY_S
         self._base_delay_s = INITIAL_DELAY_S
         self.response_timeout_s = PUSHED_RESPONSE_TIMEOUT_S if pushed else POLLED_RESPONSE_TIMEOUT_S
-        """A call without an answer for so long gets another one beside it."""
+        """After this long without an answer to a call, another one is opened in parallel."""
 
     @property
     def max_delay_s(self) -> float:
@@ -53,18 +55,18 @@
         return self._max_base_delay_s
 
     def initial_delay_s(self) -> float:
-        """Return the delay before the first call, for a proxy that has a cached list to begin with."""
+        """Return the delay before the first call of a proxy that starts with a cached list."""
         return self._rng.random() * self._spread_s if self._is_jittered else 0.0
 
     def reset(self) -> None:
-        """Begin with the shortest delay again: a call has succeeded."""
+        """Start with the shortest delay again, as a call has succeeded."""
         self._base_delay_s = INITIAL_DELAY_S
 
     def next_delay_s(self, *, overloaded: bool = False) -> float:
         """Return the delay after a call that failed or ended, and double the next one.
 
         Args:
-            overloaded: Whether discovery rejected the call because it has too much to do.
+            overloaded: Whether discovery rejected the call because it is overloaded.
         """
         if overloaded:
             self._base_delay_s = max(self._base_delay_s, self._max_base_delay_s / OVERLOAD_DELAY_DIVISOR)
--- a/stoatgw/discovery/client.py
+++ b/stoatgw/discovery/client.py
@@ -1,4 +1,4 @@
-"""The discovery client: keeps a watch of the endpoint list open and hands its pages to the publisher."""
+"""The discovery client: keeps a watch of the endpoint list open and passes its pages to the publisher."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
-WATCH_SILENCE_TIMEOUT_S = 2.5  # a watch brings a line every 2 s; one that misses a line has stalled
-MAX_OPEN_CALLS = 3  # the stalled ones that may still recover among them
+WATCH_SILENCE_TIMEOUT_S = 2.5  # a watch receives a line every 2 s; one that misses a line has stalled
+MAX_OPEN_CALLS = 3  # including stalled ones, which may still recover
 MAX_LOGGED_REASON_CHARS = 200
 
 
 class DiscoveryClient:
-    """Keeps the endpoint list: from a cached copy at first, then from discovery's watch."""
+    """Keeps the endpoint list up to date: first from a cached copy, then from discovery's watch."""
 
     def __init__(
         self,
@@ -45,15 +45,15 @@
         self._next_call_at_s = 0.0  # by the loop's clock
         self._rescheduled = asyncio.Event()
         self.publisher = publisher
-        """Holds the list."""
+        """The holder of the endpoint list."""
 
     def load_snapshot(self, data: Any) -> None:
-        """Begin with a cached copy of the list, which may be old; None where there is none."""
+        """Start with a cached copy of the list, which may be outdated; `data` is None if there is no copy."""
         if data is not None:
             self._apply_page(data, EndpointUpdateKind.CACHED)
 
     def change_address(self, address: Address) -> None:
-        """Watch at another address from now on, after the version held; the list is kept meanwhile."""
+        """Watch at another address from now on, for changes after the current version; the list is kept meanwhile."""
         if address == self._address:
             return
         self._log.event("discovery_address_changed", **{"from": str(self._address), "to": str(address)})
@@ -64,10 +64,11 @@
     async def run(self) -> None:
         """Keep a watch open until cancelled.
 
-        A stalled call is never waited for: another one is opened beside it, since what a silent watch withholds
-        counts as notified after `NOTIFICATION_DEADLINE_S`, and the next call may fail as well. But the stalled call
-        stays open: an agent that learns nothing while discovery is down sends at once what it gets afterwards. The
-        call that receives something first is kept alone, since what two of them hold may differ.
+        A stalled call is never waited for: another one is opened in parallel, since a change that a silent watch
+        withholds counts as notified after `NOTIFICATION_DEADLINE_S`, and the next call may fail as well. But the
+        stalled call stays open: an agent that receives nothing while discovery is down sends a change as soon as it
+        gets one afterwards. Only the call that receives something first is kept, since two calls may send different
+        states of the list.
         """
         loop = asyncio.get_running_loop()
         has_snapshot = self.publisher.version is not None
@@ -86,7 +87,7 @@
     # Calls.
 
     def _schedule_call(self, delay_s: float) -> None:
-        """Open another call after the delay, unless it is rescheduled before."""
+        """Open another call after the delay, unless that is rescheduled before."""
         self._next_call_at_s = asyncio.get_running_loop().time() + delay_s
         self._rescheduled.set()
 
@@ -108,7 +109,7 @@
         self._schedule_call(self._backoff.response_timeout_s)
 
     async def _run_call(self, call: WatchCall) -> None:
-        """Run one call to its end; unless it was closed by us, schedule the next."""
+        """Run one call to its end; schedule the next one, unless this client has closed the call."""
         is_overloaded = False
         try:
             await call.receive(self._address, self.publisher.version)
@@ -130,9 +131,10 @@
         self._schedule_call(self._backoff.next_delay_s(overloaded=is_overloaded))
 
     def _on_item(self, call: WatchCall, item: bytes) -> bool:
-        """Apply an object, or note a keep-alive (b""), of a call; False if the call must not go on.
+        """Apply an object of a call, or record a keep-alive (b""); return whether the call may continue.
 
-        A missed change could break the drain rule: after a bad object the change is requested anew.
+        After an invalid object the call ends and the change is requested again: without it, requests could be sent to a
+        server after its drain grace.
         """
         if item and not self._apply_object(item):
             return False
@@ -151,7 +153,7 @@
         return self._apply_page(data, EndpointUpdateKind.DELTA)
 
     def _apply_page(self, data: Any, kind: EndpointUpdateKind) -> bool:
-        """Publish an object of the list; False for a bad one, which changes nothing."""
+        """Publish an object of the list; return False for an invalid one, which changes nothing."""
         try:
             page = self._parser.parse_page(data)
         except EndpointListError as error:
@@ -160,10 +162,10 @@
         if kind is EndpointUpdateKind.DELTA and page.is_complete:
             kind = EndpointUpdateKind.SNAPSHOT
         if kind is EndpointUpdateKind.DELTA and page.version < (self.publisher.version or 0):
-            # Changes from before the version held, or of another count: applied, they could make a draining server
-            # active again.
+            # Changes that are older than the current version, or from another sequence of versions: applied, they could
+            # make a draining server active again.
             self.publisher.version = None
-            self._reject_page("the generation went back")
+            self._reject_page("generation: lower than the current one")
             return False
         self._counters.add("endpoint_list_pages")
         self.publisher.apply(page, kind)
--- a/stoatgw/discovery/endpoint_list.py
+++ b/stoatgw/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's objects parsed into pages of the endpoint list. No sockets."""
+"""Parse discovery's JSON objects into pages of the endpoint list. No sockets."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
 LIFECYCLES = {"SERVING": Lifecycle.ACTIVE, "DRAINING": Lifecycle.DRAINING, "DELETED": Lifecycle.REMOVED}
-UNKNOWN_INDEX = -1  # of a zone or machine kind that the settings do not name
-MAX_NUMBER = 2**53
+UNKNOWN_INDEX = -1  # of a zone or machine kind that the settings do not contain
+MAX_NUMBER = 2**53  # integers below it are exact as floats
 
 
 class EndpointListError(ValueError):
-    """An object of the list cannot be parsed; the message names the field. Discovery's fault."""
+    """An object of the list cannot be parsed; the message names the field. Discovery is at fault."""
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointListPage:
-    """One object of the list: a full snapshot, or what changed since the version before."""
+    """One object of the list: a full snapshot, or the changes since the previous version."""
 
     version: int
     is_complete: bool
@@ -54,7 +54,7 @@
 
     def _parse_entry(self, item: Any) -> ListedEndpoint:
         if not isinstance(item, dict):
-            raise EndpointListError("instances: an entry is no object")
+            raise EndpointListError("instances: an entry is not an object")
         name = item.get("instanceId")
         if not isinstance(name, str) or not name:
             raise EndpointListError("instanceId: missing")
@@ -88,5 +88,5 @@
 def _parse_number(item: dict[str, Any], field: str, default: float) -> float:
     value = item.get(field, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) < MAX_NUMBER:
-        raise EndpointListError(f"{field}: no number")
+        raise EndpointListError(f"{field}: not a number")
     return float(value)
--- a/stoatgw/discovery/http.py
+++ b/stoatgw/discovery/http.py
@@ -1,4 +1,4 @@
-"""An HTTP response parsed into the JSON objects of its body. No sockets."""
+"""Parse an HTTP response into the JSON objects of its body. No sockets."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 
 
 class HttpError(ValueError):
-    """The response is not HTTP, or not the one asked for. The server's fault."""
+    """The response is not HTTP, or not what was requested. The server is at fault."""
 
 
 class HttpBusyError(HttpError):
-    """The server has too much to do (429 or 503): each further call makes it worse."""
+    """The server is overloaded (429 or 503), and each further call adds to its load."""
 
 
 class JsonObjectSplitter:
-    """Splits a stream of bytes into JSON objects, however it was cut or indented; an empty line between two gives b"".
+    """Splits a byte stream into JSON objects, however it is divided into reads or indented.
 
-    Only nesting and strings are followed: an error within an object shows when the object is decoded.
+    An empty line between two objects is returned as b"". Only nesting and strings are tracked: an error within an
+    object is detected when that object is decoded.
     """
 
     def __init__(self, max_object_bytes: int = MAX_OBJECT_BYTES) -> None:
@@ -34,11 +35,11 @@
         self._depth = 0
         self._in_string = False
         self.is_overlong = False
-        """An object exceeded the limit: nothing more is read."""
+        """Whether an object exceeded the limit; all data after that is ignored."""
 
     @property
     def trailing_data(self) -> bytes:
-        """What came after the last complete object, blanks apart."""
+        """The data after the last complete object, without white space around it."""
         return bytes(self._buffer).strip()
 
     def receive_data(self, data: bytes) -> list[bytes]:
@@ -51,49 +52,49 @@
             objects.append(bytes(self._buffer[:end]).strip())
             del self._buffer[:end]
             self._position = 0
-        if len(self._buffer) > self._max_object_bytes:  # an object without end must not fill the memory
+        if len(self._buffer) > self._max_object_bytes:  # an object that never ends must not exhaust the memory
             self.is_overlong = True
             self._buffer.clear()
         return objects
 
     def _find_end(self) -> int | None:
-        """Return where the next object, or line between two objects, ends; None until that has arrived."""
+        """Return the end of the next object, or of a line between two objects; None until that is received."""
         while not self._in_string or self._skip_string():
-            # Between objects, a line's end is the end of whatever precedes it: nothing, or something that is no object.
+            # Between objects, a newline ends what precedes it: an empty line, or text that is not an object.
             newline = self._buffer.find(b"\n", self._position) if self._depth == 0 else -1
             limit = newline if newline >= 0 else len(self._buffer)
-            mark = _STRUCTURAL.search(self._buffer, self._position, limit)
-            if mark is None:
+            token = _STRUCTURAL.search(self._buffer, self._position, limit)
+            if token is None:
                 self._position = limit
                 if newline < 0:
                     return None
                 self._position += 1
                 return self._position
-            self._position = mark.end()
-            if self._closes_object(mark.group()):
+            self._position = token.end()
+            if self._closes_object(token.group()):
                 return self._position
         return None
 
     def _skip_string(self) -> bool:
-        """Advance past the end of the string; False if its end has not arrived."""
-        while (mark := _QUOTE_OR_ESCAPE.search(self._buffer, self._position)) is not None:
-            if mark.group() == b'"':
+        """Advance past the end of the string; return False if its end has not been received."""
+        while (token := _QUOTE_OR_ESCAPE.search(self._buffer, self._position)) is not None:
+            if token.group() == b'"':
                 self._in_string = False
-                self._position = mark.end()
+                self._position = token.end()
                 return True
-            if mark.end() == len(self._buffer):  # the escaped byte has not arrived
-                self._position = mark.start()
+            if token.end() == len(self._buffer):  # the escaped byte has not been received
+                self._position = token.start()
                 return False
-            self._position = mark.end() + 1
+            self._position = token.end() + 1
         self._position = len(self._buffer)
         return False
 
-    def _closes_object(self, mark: bytes) -> bool:
-        """Follow one structural byte; True if it ends an outermost object."""
-        if mark == b'"':
+    def _closes_object(self, token: bytes) -> bool:
+        """Track one structural byte; return True if it ends an outermost object."""
+        if token == b'"':
             self._in_string = True
             return False
-        if mark in b"{[":
+        if token in b"{[":
             self._depth += 1
             return False
         self._depth = max(0, self._depth - 1)
@@ -101,7 +102,7 @@
 
 
 class JsonStreamParser:
-    """Parses an HTTP response; gives the objects of its body, and b"" for an empty line."""
+    """Parses an HTTP response into the objects of its body, with b"" for an empty line."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
@@ -109,41 +110,41 @@
         self._objects: list[bytes] = []
         self._status = HTTP_OK
         self.is_complete = False
-        """The response has ended."""
+        """Whether the response has ended."""
 
     def receive_data(self, data: bytes) -> list[bytes]:
         """Add bytes and return the objects that they complete.
 
         Raises:
-            HttpBusyError: The server has too much to do.
-            HttpError: The bytes are no HTTP, the status is not 200, or an object exceeds the limit.
+            HttpBusyError: The server is overloaded.
+            HttpError: The bytes are not HTTP, the status is not 200, or an object exceeds the limit.
         """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            raise HttpError(str(error) or "no HTTP") from error
+            raise HttpError(str(error) or "not HTTP") from error
         if self._status in OVERLOADED_STATUSES:
             raise HttpBusyError(f"status {self._status}")
         if self._status != HTTP_OK:
             raise HttpError(f"status {self._status}")
         if self._splitter.is_overlong:
-            raise HttpError("an object over the cap")
+            raise HttpError("an object exceeds the size limit")
         objects = self._objects
         self._objects = []
         return objects
 
-    # Called back by httptools.
+    # Callbacks of httptools.
 
     def on_headers_complete(self) -> None:
-        """Note the status: not before, since a status line cut in its middle shows as a shorter number."""
+        """Record the status here, not earlier: of a status line received in part the number would be incomplete."""
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
-        """Split a piece of the body."""
+        """Split a piece of the body into objects."""
         self._objects += self._splitter.receive_data(body)
 
     def on_message_complete(self) -> None:
-        """Give an object that was cut short as it is: its decoding fails."""
+        """Add a truncated last object as it is, whose decoding fails."""
         if self._splitter.trailing_data:
             self._objects.append(self._splitter.trailing_data)
         self.is_complete = True
--- a/stoatgw/discovery/publisher.py
+++ b/stoatgw/discovery/publisher.py
@@ -1,4 +1,4 @@
-"""The endpoint list as discovery sent it, and its way to the backends and the controller."""
+"""The endpoint list as discovery sent it, published to the backends and the controller."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
         Args:
             backends: Updated before the controller is notified.
             queue: The controller's queue, on which updates are posted.
-            clock: Dates the updates.
-            log: Gets an event for each update of the list.
+            clock: The time source for updates.
+            log: Receives an event for each update of the list.
             on_draining: Called with each backend that began to drain or was removed.
-            override: Gives an endpoint as the operators' overrides make it.
+            override: Returns an endpoint with the operators' overrides applied.
         """
         self._backends = backends
         self._queue = queue
@@ -47,17 +47,17 @@
         self._override = override
         self._listed: dict[str, ListedEndpoint] = {}
         self.version: int | None = None
-        """The version held; None where a full snapshot has to be requested."""
+        """The current version; None if a full snapshot has to be requested."""
         self.first_update_us: int | None = None
-        """When the first update came from discovery itself, not from a cached copy."""
+        """When the first update was received from discovery itself; a cached copy does not count."""
 
     @property
     def endpoint_count(self) -> int:
-        """How many session servers the list holds."""
+        """The number of session servers in the list."""
         return len(self._listed)
 
     def has_endpoint(self, name: str) -> bool:
-        """Whether the list holds a session server of that name."""
+        """Report whether the list contains a session server of that name."""
         return name in self._listed
 
     def endpoints(self) -> list[Endpoint]:
@@ -83,12 +83,12 @@
             self._publish(page.entries, kind)
 
     def publish_all(self) -> None:
-        """Notify the controller of the full list once more."""
+        """Post the full list to the controller again."""
         endpoints = tuple(self._override(listed.endpoint) for listed in self._listed.values())
         self._post(EndpointUpdateKind.SNAPSHOT, endpoints)
 
     def republish(self, names: Iterable[str]) -> None:
-        """Publish these endpoints once more: their overrides have changed."""
+        """Publish these endpoints again, as their overrides have changed."""
         changed = [self._listed[name] for name in names if name in self._listed]
         if changed:
             self._publish(changed, EndpointUpdateKind.DELTA)
--- a/stoatgw/discovery/watch_call.py
+++ b/stoatgw/discovery/watch_call.py
@@ -16,7 +16,7 @@
 
 
 class WatchState(Enum):
-    """How far a call has come."""
+    """The stage that a call has reached."""
 
     CONNECTING = "connecting"
     REQUESTED = "requested"  # nothing has been received
@@ -25,38 +25,38 @@
 
 
 class WatchCall:
-    """One watch of the endpoint list, on a socket of its own."""
+    """One watch of the endpoint list, on its own socket."""
 
     def __init__(self, on_item: Callable[[WatchCall, bytes], bool]) -> None:
         """Prepare the call.
 
         Args:
-            on_item: Called with each object, and with b"" for a keep-alive line; returns whether the call goes on.
+            on_item: Called with each object, and with b"" for a keep-alive line; returns whether the call continues.
         """
         self.state = WatchState.CONNECTING
         self._on_item = on_item
         self._task: asyncio.Task[None] | None = None
 
     def start(self, run: Coroutine[Any, Any, None]) -> None:
-        """Run the coroutine that receives this call as a task, which `close` cancels."""
+        """Run the coroutine that receives this call in a task, which `close` cancels."""
         self._task = asyncio.get_running_loop().create_task(run)
 
     def close(self) -> None:
-        """End the call; nothing that has arrived is handed on any more."""
+        """End the call; data that was already received is not passed on any more."""
         self.state = WatchState.CLOSED
         if self._task is not None:
             self._task.cancel()
 
     async def receive(self, address: Address, after_version: int | None) -> None:
-        """Hand on all objects until the server ends the response.
+        """Pass on all objects until the server ends the response.
 
         Args:
-            address: Where discovery is.
-            after_version: The version held; None requests a full snapshot.
+            address: The address of discovery.
+            after_version: The current version, after which changes are requested; None requests a full snapshot.
 
         Raises:
             OSError: The connection failed, or was not established in time.
-            HttpError: The response is not the one asked for.
+            HttpError: The response is not what was requested.
         """
         parser = JsonStreamParser()
         buffer = bytearray(READ_SIZE_BYTES)
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -1,4 +1,4 @@
-"""Calls to discovery after a failure, over a complete fleet, without any clock."""
+"""Delays between a whole fleet's calls to discovery after a failure, without a clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def call_times_s(proxies: int, until_s: float, *, overloaded: bool = True) -> list[float]:
-    """When a fleet whose watches all end at 0 calls a discovery that answers none of it."""
+    """Return when the proxies of a fleet, whose watches all end at 0, call a discovery that never answers."""
     times = []
     for proxy in range(proxies):
         backoff = Backoff(proxies, random.Random(proxy))
@@ -22,18 +22,18 @@
 
 
 @pytest.mark.parametrize("proxies", [20, 40, 80, 160])
-def test_the_fleet_spares_an_overloaded_discovery_as_far_as_the_notification_deadline_allows(proxies: int) -> None:
-    # Guards against a discovery that 40 proxies in step kept too busy to answer any for 23 s. Delays of 40 s spared it
-    # more, but a change counts as notified after 6 s: a call rejected after 2 s, a delay, and an answer after 2 s
-    # have to fit.
+def test_the_fleet_calls_an_overloaded_discovery_as_rarely_as_the_notification_deadline_allows(proxies: int) -> None:
+    # Guards against an overload in which discovery answered none of 40 proxies that called in step, for 23 s. Delays of
+    # 40 s reduced its load further, but a change counts as notified after 6 s: a call rejected after 2 s, a delay, and
+    # an answer after 2 s have to fit into that.
     times = call_times_s(proxies, 60.0)
     assert len(times) / 60 <= 1.4 * proxies
-    for second in range(1, 60):  # and in no second do many more of them fall together
+    for second in range(1, 60):  # nor are there many more calls in any single second
         assert sum(second <= time_s < second + 1 for time_s in times) <= 1.4 * proxies + 3 * proxies**0.5
     assert Backoff(proxies, random.Random(1)).max_delay_s + 2.0 + 2.0 <= NOTIFICATION_DEADLINE_S - 0.5
 
 
-def test_an_agent_that_pushes_is_called_again_at_once_however_many_proxies_there_are() -> None:
+def test_an_agent_that_pushes_is_called_again_soon_however_many_proxies_there_are() -> None:
     backoff = Backoff(200, random.Random(1), pushed=True)
     assert backoff.initial_delay_s() == 0.0
     delays_s = [backoff.next_delay_s(overloaded=overloaded) for overloaded in (False, True, True, True)]
@@ -63,10 +63,10 @@
 
 
 @pytest.mark.parametrize(("pushed", "timeout_s"), [(True, 1.0), (False, 1.4)])
-def test_a_silent_call_gets_another_one_beside_it_sooner_where_an_agent_pushes(pushed: bool, timeout_s: float) -> None:
+def test_a_silent_call_gets_a_parallel_one_sooner_if_an_agent_pushes(pushed: bool, timeout_s: float) -> None:
     assert Backoff(200, random.Random(1), pushed=pushed).response_timeout_s == timeout_s
 
 
-def test_a_response_of_an_overloaded_server_has_an_error_of_its_own() -> None:
+def test_a_response_of_an_overloaded_server_raises_its_own_error() -> None:
     with pytest.raises(HttpBusyError):
         JsonStreamParser().receive_data(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: its HTTP, its endpoint list and its watch, and the configuration that names it."""
+"""Discovery: HTTP parser, endpoint list, watch, and the configuration that contains its address."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from stoatgw.telemetry.log import EventLog
 from tests.virtual import VirtualClock, run
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 PARSER = EndpointListParser(("a", "b"), ("m1", "m2"))
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CONFIG: dict[str, Any] = {
@@ -78,24 +78,24 @@
     return {"generation": 41, "reset": True, "instances": list(entries)} | changes
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.lists(st.integers(0, 999)), st.lists(st.integers(1, 99), min_size=1), st.sampled_from([None, 0, 2]))
-def test_a_watch_gives_the_same_objects_however_it_is_cut(
+def test_a_watch_returns_the_same_objects_however_it_is_split(
     positions: list[int], sizes: list[int], indent: int | None
 ) -> None:
-    unusual = entry(instanceId='s\\"}{[')
-    body = b"".join(json.dumps(page(unusual, version=size), indent=indent).encode() + b"\n\n" for size in sizes)
+    escaped_entry = entry(instanceId='s\\"}{[')
+    body = b"".join(json.dumps(page(escaped_entry, version=size), indent=indent).encode() + b"\n\n" for size in sizes)
     chunks = [body[start : start + sizes[0]] for start in range(0, len(body), sizes[0])]
     data = HEAD + b"".join(b"%x\r\n%s\r\n" % (len(chunk), chunk) for chunk in chunks)
     ends = sorted({position % len(data) for position in positions} | {0, len(data)})
-    http = JsonStreamParser()
-    items = [item for start, end in itertools.pairwise(ends) for item in http.receive_data(data[start:end]) if item]
+    parser = JsonStreamParser()
+    items = [item for start, end in itertools.pairwise(ends) for item in parser.receive_data(data[start:end]) if item]
     assert [orjson.loads(item)["version"] for item in items] == sizes
 
 
-@FIXED
+@DETERMINISTIC
 @given(st.binary(min_size=1, max_size=200))
-def test_garbage_in_a_response_raises_an_http_error_at_most(garbage: bytes) -> None:
+def test_garbage_in_a_response_raises_nothing_but_an_http_error(garbage: bytes) -> None:
     for data in (garbage, HEAD + garbage):
         with contextlib.suppress(HttpError):
             JsonStreamParser().receive_data(data)
@@ -106,7 +106,7 @@
         JsonStreamParser().receive_data(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-def test_an_entry_is_parsed_by_the_settings_names() -> None:
+def test_an_entry_is_parsed_with_the_names_in_the_settings() -> None:
     listed = PARSER.parse_page(page(entry())).entries[0]
     endpoint = listed.endpoint
     assert (endpoint.name, endpoint.zone, endpoint.machine_kind) == ("s-1", 1, 1)
@@ -114,12 +114,12 @@
     assert (listed.host, listed.port) == ("127.0.0.2", 80)
 
 
-JSON = st.recursive(st.none() | st.booleans() | st.floats() | st.text(), st.lists)
+JSON_VALUES = st.recursive(st.none() | st.booleans() | st.floats() | st.text(), st.lists)
 
 
-@FIXED
-@given(st.sampled_from([*entry(), "generation", "reset", "instances"]), JSON)
-def test_garbage_in_an_object_raises_an_endpoint_list_error_at_most(field: str, value: Any) -> None:
+@DETERMINISTIC
+@given(st.sampled_from([*entry(), "generation", "reset", "instances"]), JSON_VALUES)
+def test_garbage_in_an_object_raises_nothing_but_an_endpoint_list_error(field: str, value: Any) -> None:
     for data in (page(entry(**{field: value})), page(entry(), **{field: value}), page(value), value):
         with contextlib.suppress(EndpointListError):
             PARSER.parse_page(data)
@@ -161,12 +161,12 @@
         ({"settings": CONFIG["settings"] | {"areas": "a"}}, "settings.areas"),
     ],
 )
-def test_a_bad_configuration_names_its_field(changes: dict[str, Any], field: str) -> None:
+def test_the_error_for_an_invalid_configuration_names_the_field(changes: dict[str, Any], field: str) -> None:
     with pytest.raises(ConfigError, match=field):
         parse_deployment(CONFIG | changes)
 
 
-def test_an_address_that_cannot_be_bound_ends_the_start_with_status_2(
+def test_an_address_that_cannot_be_bound_exits_with_status_2(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with socket.socket() as occupied:
@@ -179,46 +179,46 @@
     assert capsys.readouterr().err.startswith("stoatgw: listen: ")
 
 
-LISTED = page(entry())
-CHANGED = page(entry(lifecycle="DRAINING"), generation=42, reset=False)
+SNAPSHOT_PAGE = page(entry())
+DRAINING_PAGE = page(entry(lifecycle="DRAINING"), generation=42, reset=False)
 Fault = Callable[[asyncio.StreamReader, asyncio.StreamWriter, float], Awaitable[None]]
 
 
-def chunk(data: Any, indent: int | None = None) -> bytes:
+def encode_chunk(data: Any, indent: int | None = None) -> bytes:
     body = (data if isinstance(data, bytes) else json.dumps(data, indent=indent).encode()) + b"\n"
     return b"%x\r\n%s\r\n" % (len(body), body)
 
 
-async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
+async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, recovery_at_s: float) -> None:
     await reader.read()
 
 
-async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
+async def reject(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, recovery_at_s: float) -> None:
     await asyncio.sleep(0.3)
     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 
 
-async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
+async def reset(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, recovery_at_s: float) -> None:
     writer.transport.abort()
 
 
-async def drip(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
-    """Send an object without end byte by byte: the connection is alive, and brings nothing."""
+async def drip(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, recovery_at_s: float) -> None:
+    """Send an object that never ends, byte by byte: the connection is alive, but completes nothing."""
     writer.write(HEAD)
     while True:
         writer.write(b"1\r\n{\r\n")
         await asyncio.sleep(0.5)
 
 
-async def truncate(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
-    writer.write(HEAD + chunk(CHANGED)[:60])
+async def truncate(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, recovery_at_s: float) -> None:
+    writer.write(HEAD + encode_chunk(DRAINING_PAGE)[:60])
     await reader.read()
 
 
-async def withhold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, until_s: float) -> None:
-    """Stay silent while discovery is down, and send at its return what changed, as an agent does."""
-    await asyncio.sleep(max(0.0, until_s - asyncio.get_running_loop().time()))
-    writer.write(HEAD + chunk(CHANGED))
+async def withhold(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, recovery_at_s: float) -> None:
+    """Stay silent while discovery is down, and send the change when it recovers, as an agent does."""
+    await asyncio.sleep(max(0.0, recovery_at_s - asyncio.get_running_loop().time()))
+    writer.write(HEAD + encode_chunk(DRAINING_PAGE))
     await reader.read()
 
 
@@ -232,7 +232,7 @@
 
 
 async def notification_delay_s(fault: Fault, down_s: float, pushed: bool = True, seed: int = 1) -> float:
-    """Seconds from discovery's return to the notification; the first watch falls silent in its first moment."""
+    """Return the seconds from discovery's recovery to the notification; the first watch stalls after its snapshot."""
     loop = asyncio.get_running_loop()
     notified = asyncio.Event()
     start_s = loop.time()
@@ -244,12 +244,12 @@
         await reader.readuntil(b"\r\n\r\n")
         with contextlib.suppress(OSError, asyncio.CancelledError):
             if call_count == 1:
-                writer.write(HEAD + chunk(LISTED, indent=2))
+                writer.write(HEAD + encode_chunk(SNAPSHOT_PAGE, indent=2))
                 await reader.read()
             elif loop.time() < start_s + down_s:
                 await fault(reader, writer, start_s + down_s)
             else:
-                writer.write(HEAD + chunk(CHANGED, indent=1))
+                writer.write(HEAD + encode_chunk(DRAINING_PAGE, indent=1))
                 await reader.read()
         writer.close()
 
@@ -272,10 +272,10 @@
 
 @pytest.mark.parametrize("pushed", [True, False])
 @pytest.mark.parametrize("fault", [hang, reject, reset, drip, truncate])
-def test_whatever_call_fails_a_change_is_notified_in_time(fault: Fault, pushed: bool) -> None:
-    """Whatever fails, a notification meets its deadline, and comes at most 2 s after discovery's return.
+def test_whichever_call_fails_a_change_is_notified_in_time(fault: Fault, pushed: bool) -> None:
+    """Whichever call fails, the notification meets its deadline, or is sent within 2 s of discovery's recovery.
 
-    Its deadline runs from the watch's silence; where a large fleet polls, the response alone may take 2 s of it.
+    The deadline starts when the watch stalls; if a large fleet polls, the response alone may take 2 s of it.
     """
     deadline_s = NOTIFICATION_DEADLINE_S - (0.0 if pushed else 2.0)
     for tenths in range(0, 100, 7):
@@ -284,17 +284,17 @@
         assert down_s + delay_s <= max(deadline_s, down_s + 2.0), down_s
 
 
-def test_a_stalled_call_is_read_at_discoverys_return() -> None:
+def test_a_stalled_call_is_read_when_discovery_recovers() -> None:
     for down_s in (3.0, 5.5, 9.9, 30.0):
         assert run(notification_delay_s(withhold, down_s)) < 0.01
 
 
-def test_a_closed_call_hands_nothing_on() -> None:
+def test_a_closed_call_passes_nothing_on() -> None:
     received: list[tuple[WatchState, bytes]] = []
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(HEAD + chunk(LISTED) + chunk(CHANGED))
+        writer.write(HEAD + encode_chunk(SNAPSHOT_PAGE) + encode_chunk(DRAINING_PAGE))
         await reader.read()
         writer.close()
 
@@ -303,23 +303,25 @@
         call.close()
         return True
 
-    async def play() -> WatchState:
+    async def receive_and_close() -> WatchState:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         address = Address("127.0.0.1", server.sockets[0].getsockname()[1])
         call = WatchCall(close)
         assert call.state is WatchState.CONNECTING
         task = asyncio.create_task(call.receive(address, None))
-        _, pending = await asyncio.wait([task], timeout=10.0)  # a call that goes on would wait for the server for good
+        _, pending = await asyncio.wait(
+            [task], timeout=10.0
+        )  # a call that is still open would wait for the server forever
         task.cancel()
         server.close()
         assert not pending
         return call.state
 
-    assert run(play()) is WatchState.CLOSED
-    assert received == [(WatchState.REQUESTED, json.dumps(LISTED).encode())]
+    assert run(receive_and_close()) is WatchState.CLOSED
+    assert received == [(WatchState.REQUESTED, json.dumps(SNAPSHOT_PAGE).encode())]
 
 
-def test_overrides_are_published_of_listed_endpoints_only() -> None:
+def test_overrides_are_published_only_for_listed_endpoints() -> None:
     published: list[EndpointsUpdated] = []
     overridden = Lifecycle.DRAINING
     publisher = EndpointPublisher(
@@ -344,11 +346,13 @@
     client.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
     assert not client._apply_object(json.dumps(page(entry(), generation=41, reset=False)).encode())
     assert client.publisher.endpoints()[0].lifecycle is Lifecycle.DRAINING
-    assert client._apply_object(json.dumps(page(entry(), generation=3)).encode())  # a full snapshot, of a new count
+    assert client._apply_object(
+        json.dumps(page(entry(), generation=3)).encode()
+    )  # a full snapshot, from a new sequence of generations
     assert client.publisher.endpoints()[0].lifecycle is Lifecycle.ACTIVE
 
 
-def test_an_object_without_end_is_given_up_at_the_limit() -> None:
+def test_an_object_that_never_ends_is_abandoned_at_the_limit() -> None:
     splitter = JsonObjectSplitter(max_object_bytes=1000)
     for _ in range(100):
         assert splitter.receive_data(b'{"a":"' + b"x" * 20) == []
