--- a/stoatgw/backends/backend.py
+++ b/stoatgw/backends/backend.py
@@ -30,7 +30,10 @@
 
     @property
     def address(self) -> tuple[bytes, int]:
-        """The address to connect to; a host given as text is idna-encoded each time, a quarter of a connect."""
+        """The address to connect to.
+
+        The host is bytes: as text it would go through the idna codec each time, a quarter of the cost of a connect.
+        """
         return self.host.encode(), self.port
 
     def accepts_new_sessions(self, now_us: int, drain_grace_us: int) -> bool:
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -92,7 +92,7 @@
         return complete
 
     def flush(self) -> bytes:
-        """Return what is held back, which then is held no longer, as the stream has ended in the middle of a line."""
+        """Return and clear the incomplete line that is held back, such as when the stream ends in the middle of it."""
         partial_line = self._partial_line
         self._partial_line = b""
         return partial_line
