--- a/stoatgw/discovery/backoff.py
+++ b/stoatgw/discovery/backoff.py
@@ -19,9 +19,7 @@
 MAX_POLLED_DELAY_S = 1.0
 PUSHED_RESPONSE_TIMEOUT_S = 1.0  # an agent answers immediately
 POLLED_RESPONSE_TIMEOUT_S = 1.4  # discovery, polled by a large fleet, answers within 2 s
-OVERLOAD_DELAY_DIVISOR = (
-    2  # if discovery is overloaded, the unjittered delay is at least the longest one divided by this
-)
+OVERLOAD_DELAY_DIVISOR = 2  # after an overload the delay before jitter is at least the longest one divided by this
 SMALL_FLEET_PROXIES = 8  # up to this many may call at the same time; a larger fleet spreads its first calls
 SPREAD_PER_PROXY_S = 0.025
 MAX_SPREAD_S = 2.0  # well within NOTIFICATION_DEADLINE_S
--- a/stoatgw/line_protocol/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -45,7 +45,7 @@
     idempotency_key: int
     class_name: str  # c
     timeout_ms: int  # d: how long the client waits for UP
-    group: int | None  # g: the group that the client belongs to
+    group: int | None  # g: the group of the request
     load_hint: float | None  # h: the work that the session may cause
     is_client_retry: bool  # r: the client has sent the request before
     is_returning: bool  # again: the client had a session before
