--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -309,9 +309,8 @@
         call = WatchCall(close)
         assert call.state is WatchState.CONNECTING
         task = asyncio.create_task(call.receive(address, None))
-        _, pending = await asyncio.wait(
-            [task], timeout=10.0
-        )  # a call that is still open would wait for the server forever
+        # A call that is still open would wait for the server forever.
+        _, pending = await asyncio.wait([task], timeout=10.0)
         task.cancel()
         server.close()
         assert not pending
@@ -346,9 +345,8 @@
     client.load_snapshot(page(entry(lifecycle="DRAINING"), generation=42))
     assert not client._apply_object(json.dumps(page(entry(), generation=41, reset=False)).encode())
     assert client.publisher.endpoints()[0].lifecycle is Lifecycle.DRAINING
-    assert client._apply_object(
-        json.dumps(page(entry(), generation=3)).encode()
-    )  # a full snapshot, from a new sequence of generations
+    # A full snapshot, from a new sequence of generations, is applied.
+    assert client._apply_object(json.dumps(page(entry(), generation=3)).encode())
     assert client.publisher.endpoints()[0].lifecycle is Lifecycle.ACTIVE
 
 
