--- a/stoatgw/hot_restart/handover.py
+++ b/stoatgw/hot_restart/handover.py
@@ -24,6 +24,6 @@
     return has_endpoints and now_us >= started_us + ENDPOINT_LIST_WAIT_US
 
 
-def is_newer_accepting(own: ProcessRecord, siblings: Iterable[ProcessRecord]) -> bool:
+def is_newer_sibling_accepting(own: ProcessRecord, siblings: Iterable[ProcessRecord]) -> bool:
     """Whether a sibling accepts that began to do so after this process: then that one alone accepts."""
     return any(sibling.is_accepting and sibling.since_us > own.since_us for sibling in siblings)
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -8,7 +8,7 @@
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.listener import Listener
 from stoatgw.discovery.publisher import EndpointPublisher
-from stoatgw.hot_restart.handover import is_newer_accepting, may_start_accepting
+from stoatgw.hot_restart.handover import is_newer_sibling_accepting, may_start_accepting
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
 
 POLL_INTERVAL_S = 0.1
@@ -69,7 +69,7 @@
     def is_superseded(self) -> bool:
         """Whether a sibling that started later accepts the clients."""
         self._read_siblings()
-        return is_newer_accepting(self._own, self._siblings)
+        return is_newer_sibling_accepting(self._own, self._siblings)
 
     def stop(self) -> None:
         """Stop being visible: this process ends."""
@@ -98,7 +98,7 @@
         """Leave accepting to a sibling that began later, and accept again should it end."""
         if not self._context.lifecycle.is_serving:
             return
-        should_accept = not is_newer_accepting(self._own, self._siblings)
+        should_accept = not is_newer_sibling_accepting(self._own, self._siblings)
         if should_accept == self.is_accepting:
             return
         self.is_accepting = should_accept
--- a/stoatgw/service/__init__.py
+++ b/stoatgw/service/__init__.py
@@ -1,8 +1,8 @@
-"""The real proxy as a process: builds its parts, starts their tasks, handles signals, and shuts it down.
+"""The proxy process: builds its components, starts their tasks, handles signals, and shuts the proxy down.
 
-`core` builds what every proxy has; `optional_parts` adds what is configured, each as a `ServicePart`, and imports
-nothing else. `proxy.serve` gives the order in which they start, `shutdown` the order in which they end. What the
-parts do is left to their own packages.
+`core` builds what every proxy has. `optional_components` adds what is configured, each as a `ServiceComponent`, and
+imports nothing else. `proxy.serve` defines the start-up order, `shutdown` the shutdown order. What the components do
+is implemented in their own packages.
 """
 
 from __future__ import annotations
--- a/stoatgw/service/part.py
+++ b/stoatgw/service/component.py
@@ -8,7 +8,7 @@
 BackgroundTask = Callable[[], Coroutine[Any, Any, None]]
 
 
-class ServicePart:
+class ServiceComponent:
     """An optional part of a proxy. Each method does nothing unless the part needs it.
 
     The service calls them in the order in which they stand here, all from its own task. A fault of a background task
--- a/stoatgw/service/hot_restart.py
+++ b/stoatgw/service/hot_restart.py
@@ -6,12 +6,12 @@
 from functools import partial
 
 from stoatgw.hot_restart.hot_restart import POLL_INTERVAL_S, HotRestart
+from stoatgw.service.component import BackgroundTask, ServiceComponent
 from stoatgw.service.core import ProxyCore
-from stoatgw.service.part import BackgroundTask, ServicePart
 from stoatgw.service.periodic import run_periodically
 
 
-class HotRestartPart(ServicePart):
+class HotRestartComponent(ServiceComponent):
     """Agrees with the other processes of this proxy who accepts the clients."""
 
     def __init__(self, core: ProxyCore) -> None:
--- a/stoatgw/service/maintenance.py
+++ b/stoatgw/service/maintenance.py
@@ -10,11 +10,11 @@
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.maintenance.controller import MaintenanceController
 from stoatgw.maintenance.service import make_maintenance_controller
+from stoatgw.service.component import BackgroundTask, ServiceComponent
 from stoatgw.service.core import ProxyCore
-from stoatgw.service.part import BackgroundTask, ServicePart
 
 
-class MaintenancePart(ServicePart):
+class MaintenanceComponent(ServiceComponent):
     """Takes part in the maintenance that the proxies of a fleet agree on."""
 
     def __init__(self, core: ProxyCore, membership: MembershipConfig, plan: MaintenancePlan) -> None:
--- a/stoatgw/service/management.py
+++ b/stoatgw/service/management.py
@@ -9,14 +9,14 @@
 from stoatgw.config.errors import ConfigError
 from stoatgw.management.listener import ManagementListener
 from stoatgw.management.operations import Operations
+from stoatgw.service.component import BackgroundTask, ServiceComponent
 from stoatgw.service.core import ProxyCore
-from stoatgw.service.part import BackgroundTask, ServicePart
 from stoatgw.service.periodic import run_periodically
 from stoatgw.suspension.applier import SuspensionApplier
 from stoatgw.suspension.service import POLL_INTERVAL_S, SuspensionService
 
 
-class ManagementPart(ServicePart):
+class ManagementComponent(ServiceComponent):
     """Answers the operators' requests, and keeps their suspensions over a restart."""
 
     def __init__(self, core: ProxyCore, address: Address, accepts_connections: Callable[[], bool]) -> None:
--- a/stoatgw/service/optional_parts.py
+++ b/stoatgw/service/optional_components.py
@@ -8,43 +8,43 @@
 from stoatgw.config.deployment import Deployment
 from stoatgw.controller.migrations import MigrationPlanner
 from stoatgw.hot_restart import LISTEN_DESCRIPTOR_VARIABLE
+from stoatgw.service.component import ServiceComponent
 from stoatgw.service.core import ProxyCore
-from stoatgw.service.part import ServicePart
 
 if TYPE_CHECKING:
     from stoatgw.config.operators import OperatorConfig
 
 
-def create_parts(core: ProxyCore, operators: OperatorConfig | None) -> list[ServicePart]:
+def create_components(core: ProxyCore, operators: OperatorConfig | None) -> list[ServiceComponent]:
     """The configured parts, in the order in which they start.
 
     Raises:
         ConfigError: A part cannot run as configured.
     """
-    parts: list[ServicePart] = []
+    components: list[ServiceComponent] = []
     accepts_connections = _always_accepts
     if LISTEN_DESCRIPTOR_VARIABLE in os.environ:
-        from stoatgw.service.hot_restart import HotRestartPart
+        from stoatgw.service.hot_restart import HotRestartComponent
 
-        hot_restart = HotRestartPart(core)
+        hot_restart = HotRestartComponent(core)
         accepts_connections = hot_restart.is_accepting
-        parts.append(hot_restart)
+        components.append(hot_restart)
     management_address = core.context.deployment.management_address
     if management_address is not None:
-        from stoatgw.service.management import ManagementPart
+        from stoatgw.service.management import ManagementComponent
 
-        parts.append(ManagementPart(core, management_address, accepts_connections))
+        components.append(ManagementComponent(core, management_address, accepts_connections))
     if operators is None or operators.membership is None:
-        return parts
+        return components
     if operators.shared_health_checks is not None:
-        from stoatgw.service.shared_health_checks import SharedHealthChecksPart
+        from stoatgw.service.shared_health_checks import SharedHealthChecksComponent
 
-        parts.append(SharedHealthChecksPart(core, operators.membership, operators.shared_health_checks))
+        components.append(SharedHealthChecksComponent(core, operators.membership, operators.shared_health_checks))
     if operators.maintenance is not None:
-        from stoatgw.service.maintenance import MaintenancePart
+        from stoatgw.service.maintenance import MaintenanceComponent
 
-        parts.append(MaintenancePart(core, operators.membership, operators.maintenance))
-    return parts
+        components.append(MaintenanceComponent(core, operators.membership, operators.maintenance))
+    return components
 
 
 def create_migration_planner(deployment: Deployment, operators: OperatorConfig | None) -> MigrationPlanner | None:
--- a/stoatgw/service/proxy.py
+++ b/stoatgw/service/proxy.py
@@ -12,9 +12,9 @@
 from stoatgw.config.deployment import Address, Deployment
 from stoatgw.config.errors import ConfigError
 from stoatgw.hot_restart import LISTEN_DESCRIPTOR_VARIABLE
+from stoatgw.service.component import BackgroundTask, ServiceComponent
 from stoatgw.service.core import ProxyCore, build_core
-from stoatgw.service.optional_parts import create_migration_planner, create_parts
-from stoatgw.service.part import BackgroundTask, ServicePart
+from stoatgw.service.optional_components import create_components, create_migration_planner
 from stoatgw.service.reload import ConfigReloader
 from stoatgw.service.shutdown import shut_down
 from stoatgw.service.signals import install_signal_handlers
@@ -37,23 +37,23 @@
     """
     core = build_core(deployment)
     context = core.context
-    parts = create_parts(core, operators)
+    components = create_components(core, operators)
     reloader = ConfigReloader(path, deployment, core.discovery, context.log, context.counters)
     stop_requested = install_signal_handlers(reloader.reload, partial(core.log_totals, "counters_reported"))
-    for part in parts:
-        part.restore()
+    for component in components:
+        component.restore()
     core.discovery.load_snapshot(deployment.initial_endpoints)
     context.controller.start(core.gateway, create_migration_planner(deployment, operators))
     _open_listener(core.listener, deployment.listen_address)
-    for part in parts:
-        part.attach()
-    tasks = _start_tasks(core, parts)
+    for component in components:
+        component.attach()
+    tasks = _start_tasks(core, components)
     context.log.event("ready", listen=str(deployment.listen_address))
     await _wait_until_stopped(tasks, stop_requested, context.log)
-    await shut_down(core, parts)
+    await shut_down(core, components)
 
 
-def _start_tasks(core: ProxyCore, parts: Sequence[ServicePart]) -> list[asyncio.Task[None]]:
+def _start_tasks(core: ProxyCore, components: Sequence[ServiceComponent]) -> list[asyncio.Task[None]]:
     """Start all background tasks; none of them ends by itself."""
     loop = asyncio.get_running_loop()
     background: list[BackgroundTask] = [
@@ -62,8 +62,8 @@
         core.listener.run,
         core.session_monitor.run,
     ]
-    for part in parts:
-        background += part.background_tasks()
+    for component in components:
+        background += component.background_tasks()
     return [loop.create_task(run()) for run in background]
 
 
--- a/stoatgw/service/shared_health_checks.py
+++ b/stoatgw/service/shared_health_checks.py
@@ -6,13 +6,13 @@
 
 from stoatgw.config.membership import MembershipConfig
 from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
+from stoatgw.service.component import BackgroundTask, ServiceComponent
 from stoatgw.service.core import ProxyCore
-from stoatgw.service.part import BackgroundTask, ServicePart
 from stoatgw.shared_health_checks.checker import ProxyHooks
 from stoatgw.shared_health_checks.service import make_shared_health_checker
 
 
-class SharedHealthChecksPart(ServicePart):
+class SharedHealthChecksComponent(ServiceComponent):
     """Carries out this proxy's part of the health checks, and takes over what other proxies have found."""
 
     def __init__(self, core: ProxyCore, membership: MembershipConfig, sharing: SharedHealthChecksConfig) -> None:
--- a/stoatgw/service/shutdown.py
+++ b/stoatgw/service/shutdown.py
@@ -6,8 +6,8 @@
 from collections.abc import Sequence
 
 from stoatgw.controller.graceful_shutdown import ShutdownPlan, plan_shutdown
+from stoatgw.service.component import ServiceComponent
 from stoatgw.service.core import ProxyCore
-from stoatgw.service.part import ServicePart
 
 POLL_INTERVAL_S = 0.02
 # Who waits without an answer gets one so long before the latest end: longer than a rejected connection lingers.
@@ -15,10 +15,10 @@
 BACKLOG_LEAD_US = 50_000  # the backlog is accepted, and the listener closed, so long before the earliest end
 
 
-async def shut_down(core: ProxyCore, parts: Sequence[ServicePart]) -> None:
+async def shut_down(core: ProxyCore, components: Sequence[ServiceComponent]) -> None:
     """Drain the proxy and end its parts; returns when the process may end."""
     context = core.context
-    is_handed_over = any(part.is_superseded() for part in parts)
+    is_handed_over = any(component.is_superseded() for component in components)
     context.log.event("shutdown_started", open_connections=core.listener.open_connections, handed_over=is_handed_over)
     context.lifecycle.begin_shutdown(handed_over=is_handed_over)
     if is_handed_over:
@@ -27,12 +27,12 @@
     plan = plan_shutdown(context.deployment.settings, handed_over=is_handed_over)
     started_us = context.clock.now_us()
     context.controller.post(plan.drain)
-    for part in parts:
-        part.begin_shutdown()
+    for component in components:
+        component.begin_shutdown()
     await _serve_to_the_end(core, plan, started_us, is_listening=not is_handed_over)
     _log_cut_sessions(core)
-    for part in reversed(parts):
-        part.stop()
+    for component in reversed(components):
+        component.stop()
     core.log_totals("proxy_stopped")
 
 
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -19,7 +19,7 @@
 from stoatgw.hot_restart.handover import (
     ENDPOINT_LIST_WAIT_US,
     LOAD_LEARNING_US,
-    is_newer_accepting,
+    is_newer_sibling_accepting,
     may_start_accepting,
 )
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
@@ -93,9 +93,9 @@
     old = ProcessRecord(is_accepting=True, since_us=1, descriptors=0)
     new = ProcessRecord(is_accepting=True, since_us=2, descriptors=0)
     waiting = ProcessRecord(is_accepting=False, since_us=2, descriptors=0)
-    assert is_newer_accepting(old, [new])
-    assert not is_newer_accepting(new, [old])
-    assert not is_newer_accepting(old, [waiting])
+    assert is_newer_sibling_accepting(old, [new])
+    assert not is_newer_sibling_accepting(new, [old])
+    assert not is_newer_sibling_accepting(old, [waiting])
 
 
 class Platform:
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -13,7 +13,7 @@
 from stoatgw.telemetry.log import WINDOW_US, EventLog, RateLimitedLog
 
 
-class StoppedClock(Clock):
+class FakeClock(Clock):
     def __init__(self) -> None:
         self.time_us = 0
 
@@ -38,7 +38,7 @@
 def test_events_of_a_flood_are_limited_and_those_left_out_are_counted() -> None:
     written: list[dict[str, object]] = []
     log = SimpleNamespace(event=lambda event, **fields: written.append({"event": event} | fields))
-    clock = StoppedClock()
+    clock = FakeClock()
     limited = RateLimitedLog(log, clock, max_events_per_s=2)  # type: ignore[arg-type]
     for _ in range(5):
         limited.event("request_malformed", why="x")
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,9 +11,9 @@
 import pytest
 
 from stoatgw.config.deployment import Address, parse_deployment
+from stoatgw.service.component import ServiceComponent
 from stoatgw.service.core import ProxyCore, build_core
-from stoatgw.service.optional_parts import create_parts
-from stoatgw.service.part import ServicePart
+from stoatgw.service.optional_components import create_components
 from stoatgw.service.shutdown import shut_down
 from tests.test_discovery import CONFIG
 
@@ -31,7 +31,7 @@
     code = "import sys, stoatgw.service; print(*sys.modules)"
     loaded = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
     optional = {"management", "hot_restart", "maintenance", "shared_health_checks"}
-    assert not {f"stoatgw.service.{part}" for part in optional} & set(loaded.stdout.split())
+    assert not {f"stoatgw.service.{component}" for component in optional} & set(loaded.stdout.split())
     assert not {
         "stoatgw.management",
         "stoatgw.hot_restart.hot_restart",
@@ -47,9 +47,9 @@
     ("management", "inherits_socket", "expected"),
     [
         (False, False, []),
-        (True, False, ["ManagementPart"]),
-        (False, True, ["HotRestartPart"]),
-        (True, True, ["HotRestartPart", "ManagementPart"]),
+        (True, False, ["ManagementComponent"]),
+        (False, True, ["HotRestartComponent"]),
+        (True, True, ["HotRestartComponent", "ManagementComponent"]),
     ],
 )
 def test_a_part_is_created_where_it_is_configured(
@@ -58,11 +58,11 @@
     monkeypatch.delenv("LB_LISTEN_FD", raising=False)
     if inherits_socket:
         monkeypatch.setenv("LB_LISTEN_FD", "3")
-    parts = create_parts(make_core(management=management), None)
-    assert [type(part).__name__ for part in parts] == expected
+    components = create_components(make_core(management=management), None)
+    assert [type(component).__name__ for component in components] == expected
 
 
-class RecordingPart(ServicePart):
+class RecordingComponent(ServiceComponent):
     """Keeps the calls of the shutdown, with its name."""
 
     def __init__(self, name: str, calls: list[str], *, is_superseded: bool) -> None:
@@ -85,9 +85,9 @@
     calls: list[str] = []
 
     async def run() -> None:
-        parts = [RecordingPart(name, calls, is_superseded=name == "b") for name in ("a", "b")]
+        components = [RecordingComponent(name, calls, is_superseded=name == "b") for name in ("a", "b")]
         async with asyncio.timeout(0.5):
-            await shut_down(make_core(), parts)
+            await shut_down(make_core(), components)
 
     asyncio.run(run())
     assert calls == ["a asked", "b asked", "a begins", "b begins", "b stops", "a stops"]
