--- a/stoatgw/service/shutdown.py
+++ b/stoatgw/service/shutdown.py
@@ -1,4 +1,4 @@
-"""From SIGTERM, or the end of a task, to the end of the process: by the controller's `ShutdownPlan`."""
+"""Shuts the proxy down after SIGTERM, or after a task has failed, according to the controller's `ShutdownPlan`."""
 
 from __future__ import annotations
 
@@ -10,33 +10,35 @@
 from stoatgw.service.core import ProxyCore
 
 POLL_INTERVAL_S = 0.02
-# Who waits without an answer gets one so long before the latest end: longer than a rejected connection lingers.
+# How long before the plan's longest duration clients still waiting are answered: longer than a rejected connection
+# lingers.
 FINAL_ANSWER_LEAD_US = 300_000
-BACKLOG_LEAD_US = 50_000  # the backlog is accepted, and the listener closed, so long before the earliest end
+# How long before the plan's shortest duration the backlog is accepted and the listener closed.
+BACKLOG_LEAD_US = 50_000
 
 
 async def shut_down(core: ProxyCore, components: Sequence[ServiceComponent]) -> None:
-    """Drain the proxy and end its parts; returns when the process may end."""
+    """Drain the proxy and stop its components; return when the process may end."""
     context = core.context
     is_handed_over = any(component.is_superseded() for component in components)
     context.log.event("shutdown_started", open_connections=core.listener.open_connections, handed_over=is_handed_over)
     context.lifecycle.begin_shutdown(handed_over=is_handed_over)
     if is_handed_over:
-        # The other process accepts all new connections. Those accepted here are served, then migrated.
+        # The other process accepts all new connections. Connections accepted here are served, then migrated.
         core.listener.set_accepting(False)
     plan = plan_shutdown(context.deployment.settings, handed_over=is_handed_over)
     started_us = context.clock.now_us()
     context.controller.post(plan.drain)
     for component in components:
         component.begin_shutdown()
-    await _serve_to_the_end(core, plan, started_us, is_listening=not is_handed_over)
+    await _wait_for_drain(core, plan, started_us, is_listening=not is_handed_over)
     _log_cut_sessions(core)
     for component in reversed(components):
         component.stop()
     core.log_totals("proxy_stopped")
 
 
-async def _serve_to_the_end(core: ProxyCore, plan: ShutdownPlan, started_us: int, *, is_listening: bool) -> None:
+async def _wait_for_drain(core: ProxyCore, plan: ShutdownPlan, started_us: int, *, is_listening: bool) -> None:
     """Wait until all connections have ended, at least for the plan's shortest duration and at most for its longest."""
     while True:
         elapsed_us = core.context.clock.now_us() - started_us
@@ -46,17 +48,18 @@
             is_listening = False
             await core.listener.close()
         if elapsed_us >= plan.max_duration_us - FINAL_ANSWER_LEAD_US:
-            _answer_waiting(core)  # each time, as more may come
+            _answer_remaining_clients(core)  # in each iteration, as more requests may be received
         if elapsed_us >= plan.min_duration_us and not core.listener.open_connections:
             return
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-def _answer_waiting(core: ProxyCore) -> None:
-    """Answer and migrate who is still there shortly before the end: what crosses it would get no answer, and no MOVE.
+def _answer_remaining_clients(core: ProxyCore) -> None:
+    """Answer or migrate the clients that remain shortly before the process ends.
 
-    Those are connections that may send their request at any moment, requests whose session was not restored yet, and
-    sessions whose server does not end its line.
+    A message that races with the end of the process would get no answer, and a session no MOVE. The remaining clients
+    are connections that may send their request at any moment, requests whose session is not restored yet, and sessions
+    whose server has not completed its line.
     """
     core.context.descriptor_limiter.evict_all()
     for reject in list(core.context.restoring.values()):
@@ -66,6 +69,6 @@
 
 
 def _log_cut_sessions(core: ProxyCore) -> None:
-    """Log the sessions that end with the process: none should be left."""
+    """Log the sessions that are cut because the process ends; there should be none."""
     for request_id, session in core.context.established_sessions.items():
         core.context.log.event("session_cut", id=request_id, backend=session.server, why="the process ends")
--- a/tests/test_session_crossings.py
+++ b/tests/test_session_crossings.py
@@ -696,7 +696,7 @@
         restored = await proxy.open_session(b",at=s")
         while not proxy.context.restoring:
             await asyncio.sleep(0.01)
-        shutdown._answer_waiting(core_of(proxy))
+        shutdown._answer_remaining_clients(core_of(proxy))
         for (reader, writer), answer in ((idle, b"BUSY\r\n"), (restored, b"BUSY\r\n"), (session, b"MOVE\r\n")):
             assert await reader.read() == answer
             writer.close()
