--- a/stoatgw/management/__init__.py
+++ b/stoatgw/management/__init__.py
@@ -1,6 +1,6 @@
-"""The operators' second address: HTTP/1.1, one request to a connection.
+"""The management address for operators: HTTP/1.1, one request per connection.
 
-`http` parses a request and `routes` says which operation it asks for, both without sockets; `listener` is the thin
-part with them, and answers every complete request at once, whatever the load. What an operation does is left to a
-`ManagementApi`, which `operations` implements on the proxy's parts.
+`http` parses a request and `routes` maps it to an operation, both without sockets. `listener` contains the socket code
+and answers every complete request at once, whatever the load. A `ManagementApi` carries the operations out;
+`operations` implements it on the proxy's components.
 """
--- a/stoatgw/management/http.py
+++ b/stoatgw/management/http.py
@@ -6,7 +6,7 @@
 
 import httptools
 
-MAX_REQUEST_BYTES = 16_384  # of a complete request, its body included; no operation needs as much
+MAX_REQUEST_BYTES = 16_384  # of a complete request, including its body; no operation needs as much
 REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A complete request; `path` is as it was sent, without its query."""
+    """A complete request; `path` is the path as it was sent, without the query."""
 
     method: str
     path: str
@@ -30,14 +30,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A response; `body` is for people or holds the metrics, `allow` names the right method beside a 405."""
+    """A response; `body` is a text for operators or the metrics, `allow` is the allowed method of a 405 response."""
 
     status: int
     body: str
     allow: str = ""
 
     def to_bytes(self) -> bytes:
-        """The response as it is sent; the connection closes after it."""
+        """Encode the response; the connection is closed after it."""
         body = self.body.encode()
         allow = f"Allow: {self.allow}\r\n" if self.allow else ""
         head = (
@@ -49,7 +49,7 @@
 
 
 class HttpRequestParser:
-    """Feeds data to httptools until one request is complete; what follows it is ignored."""
+    """Parses one request with httptools; data after it is ignored."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
@@ -57,24 +57,28 @@
         self._received_bytes = 0
         self._request: HttpRequest | None = None
 
-    def on_url(self, part: bytes) -> None:
-        """Called by httptools with each part of the request's target."""
-        self._url += part
+    def on_url(self, fragment: bytes) -> None:
+        """Append a fragment of the request target; called by httptools."""
+        self._url += fragment
 
     def on_message_complete(self) -> None:
-        """Called by httptools at the end of each request; only the first one counts."""
+        """Record the first request and ignore any later one; called by httptools at the end of each request."""
         if self._request is not None:
             return
         path = httptools.parse_url(self._url).path or b""
         self._request = HttpRequest(self._parser.get_method().decode("ascii", "replace"), path.decode("ascii"))
 
     def feed(self, data: bytes) -> HttpRequest | HttpResponse | None:
-        """The request, or the response to data that is none; None until the request is complete."""
+        """Parse more data.
+
+        Returns:
+            The request, an error response to data that is not a request, or None until the request is complete.
+        """
         self._received_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade, UnicodeDecodeError):
-            # Whatever follows a complete request: the request counts.
+            # Invalid data after a complete request is ignored.
             return self._request or HttpResponse(400, "no: this is no HTTP/1.1 call\n")
         if self._request is None and self._received_bytes > MAX_REQUEST_BYTES:
             return HttpResponse(413, f"no: a call holds {MAX_REQUEST_BYTES} bytes at most\n")
--- a/stoatgw/management/listener.py
+++ b/stoatgw/management/listener.py
@@ -1,4 +1,4 @@
-"""The second address on its sockets. Its connections have descriptors of their own: see `MAX_CONNECTIONS`."""
+"""The sockets of the management address. Its connections use reserved descriptors: see `MAX_CONNECTIONS`."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
-MAX_CONNECTIONS = 32  # their descriptors are reserved, so that neither clients nor operators shut the other out
-REQUEST_TIMEOUT_S = 2.0  # from accepting a connection to its complete request
+MAX_CONNECTIONS = 32  # their descriptors are reserved, so that neither clients nor operators can lock the other out
+REQUEST_TIMEOUT_S = 2.0  # from accepting a connection to receiving its complete request
 LINGER_TIMEOUT_S = 0.25
 RECEIVE_BUFFER_BYTES = 4096
 
 
 class ManagementApi(Protocol):
-    """Carries operations out, without waiting on anything that a load could hold up."""
+    """Carries out operations, without waiting for anything that a high load could delay."""
 
     def execute(self, request: OperationRequest) -> HttpResponse:
-        """Carry an operation out; the response says whether it took effect."""
+        """Carry out an operation; the response reports whether it took effect."""
         ...
 
 
@@ -31,7 +31,7 @@
     """Accepts the operators' connections and answers one request on each."""
 
     def __init__(self, api: ManagementApi, log: EventLog, counters: Counters) -> None:
-        """Prepare the listener; `bind` and then `run` open it."""
+        """Prepare the listener; `bind` opens its socket, and `run` accepts connections."""
         self._api = api
         self._log = log
         self._counters = counters
@@ -39,16 +39,16 @@
         self._connections: dict[asyncio.Task[None], socket.socket] = {}  # oldest first
 
     def bind(self, address: Address) -> None:
-        """Listen at the address.
+        """Listen on the address.
 
         Raises:
-            OSError: Nothing can listen there.
+            OSError: The address cannot be bound.
         """
         self._listener = tcp.create_listener((address.host, address.port), MAX_CONNECTIONS)
 
     @property
     def bound_port(self) -> int:
-        """The port it listens on, also where the address left the choice to the system; 0 before `bind`."""
+        """The port that the listener is bound to, also if the system chose it; 0 before `bind`."""
         if self._listener is None:
             return 0
         port: int = self._listener.getsockname()[1]
@@ -70,15 +70,15 @@
                 self._close_oldest()
             task = loop.create_task(self._serve(connection))
             self._connections[task] = connection
-            task.add_done_callback(self._forget)
+            task.add_done_callback(self._remove_connection)
 
     def _close_oldest(self) -> None:
-        """Guards against connections that send nothing, or half a request, and stay."""
+        """Make room when connections that send no complete request take up all of `MAX_CONNECTIONS`."""
         task, connection = next(iter(self._connections.items()))
         del self._connections[task]
         tcp.shut_down(connection)  # its task closes it
 
-    def _forget(self, task: asyncio.Task[None]) -> None:
+    def _remove_connection(self, task: asyncio.Task[None]) -> None:
         self._connections.pop(task, None)
 
     async def _serve(self, connection: socket.socket) -> None:
@@ -88,13 +88,13 @@
                 await tcp.close_gracefully(connection, response.to_bytes(), LINGER_TIMEOUT_S)
         except OSError:
             pass  # the operator has closed the connection
-        except Exception as error:  # a fault in one request must not end the address
+        except Exception as error:  # an error in one request must not stop the listener
             self._log.event("management_call_failed", error=repr(error))
         finally:
             tcp.close(connection)
 
     async def _respond(self, connection: socket.socket) -> HttpResponse | None:
-        """The response to the connection's request; None where it was closed before."""
+        """Return the response to the connection's request; None if the operator closed the connection before."""
         try:
             async with asyncio.timeout(REQUEST_TIMEOUT_S):
                 received = await _receive_request(connection)
@@ -111,7 +111,7 @@
     def _execute(self, request: OperationRequest) -> HttpResponse:
         try:
             response = self._api.execute(request)
-        except Exception as error:  # never "yes" to what was not carried out
+        except Exception as error:  # an operation that was not carried out must not be answered with "yes"
             self._log.event("management_call_failed", operation=request.operation.value, error=repr(error))
             return HttpResponse(500, "no: a fault, see the log\n")
         self._counters.add("management_calls")
@@ -119,7 +119,11 @@
 
 
 async def _receive_request(connection: socket.socket) -> HttpRequest | HttpResponse | None:
-    """The connection's request, or the response to what is none; None where it was closed before."""
+    """Receive a connection's request.
+
+    Returns:
+        The request, an error response to data that is not a request, or None if the connection was closed before.
+    """
     parser = HttpRequestParser()
     while True:
         data = await tcp.receive(connection, RECEIVE_BUFFER_BYTES)
--- a/stoatgw/management/operations.py
+++ b/stoatgw/management/operations.py
@@ -1,4 +1,4 @@
-"""What the operators' operations do; `management` says how they arrive."""
+"""Carries out the operators' operations; `listener` receives the requests."""
 
 from __future__ import annotations
 
@@ -12,14 +12,15 @@
 from stoatgw.management.routes import Operation, OperationRequest
 from stoatgw.suspension.service import StillSuspendedError, SuspensionNotPersistedError, SuspensionService
 
-# New clients stop 0.2 s after a PING is rejected, which is sent ten times a second; after 4 s none may be left.
+# New clients stop being routed here 0.2 s after a PING is rejected, and PINGs are sent ten times a second. After 4 s no
+# client may be left.
 DRAIN_ACCEPT_WINDOW_US = 400_000
 DRAIN_MIGRATION_WINDOW_US = 2_000_000
 DRAIN_ADMISSION_WINDOW_US = 2_600_000
 
 
 def start_drain(context: ProxyContext) -> None:
-    """Drain the proxy: migrate all its clients. Does nothing while a drain or the shutdown is under way."""
+    """Drain the proxy by migrating all its clients; do nothing while a drain or the shutdown is in progress."""
     if context.lifecycle.begin_drain():
         context.log.event("drain_started", open_connections=len(context.established_sessions))
         context.controller.post(
@@ -28,7 +29,7 @@
 
 
 class Operations:
-    """Carries operations out on the proxy's parts; a `ManagementApi`."""
+    """Carries out operations on the proxy's components; implements `ManagementApi`."""
 
     def __init__(
         self,
@@ -41,9 +42,9 @@
 
         Args:
             context: What the proxy's sessions share; its lifecycle and metrics are read and changed here.
-            publisher: Holds the endpoint list.
+            publisher: Knows the current endpoint list.
             suspensions: Suspends and resumes session servers.
-            accepts_connections: Whether this process, and not another one of this proxy, accepts clients now.
+            accepts_connections: Returns whether this process, rather than a sibling process, accepts clients now.
         """
         self._context = context
         self._publisher = publisher
@@ -51,7 +52,7 @@
         self._accepts_connections = accepts_connections
 
     def execute(self, request: OperationRequest) -> HttpResponse:
-        """Carry an operation out; the response says whether it took effect."""
+        """Carry out an operation; the response reports whether it took effect."""
         match request.operation:
             case Operation.READY:
                 return self._report_readiness()
@@ -91,7 +92,7 @@
         try:
             self._suspensions.suspend(server)
         except SuspensionNotPersistedError as error:
-            # It is suspended, but an operator who counts on it across a restart has to know.
+            # The server is suspended, but an operator who relies on that across a restart has to know.
             return HttpResponse(500, f"no: out in this process alone, {error}\n")
         return HttpResponse(200, f"yes: {server} is out\n")
 
--- a/stoatgw/management/routes.py
+++ b/stoatgw/management/routes.py
@@ -1,4 +1,4 @@
-"""Which operation a method and a path ask for. No sockets."""
+"""Maps a request's method and path to an operation. No sockets."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Operation(Enum):
-    """What an operator may ask of a proxy."""
+    """An operation that an operator may request from a proxy."""
 
     READY = "readyz"
     METRICS = "metrics"
@@ -20,25 +20,25 @@
     ACTIVATE = "activate"
 
 
-SERVER_ID = ""  # the segment of a route's path that stands for any session server's id
+SERVER_ID = ""  # placeholder segment in a route's path that matches any session server's id
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """An operation's method and path; `segments` are the path's, without the slashes."""
+    """The method and path of an operation; `segments` is the path split at its slashes."""
 
     method: str
     segments: tuple[str, ...]
     operation: Operation
 
     def matches(self, segments: list[str]) -> bool:
-        """Whether a path is this route's, whatever its method."""
+        """Return whether a path matches this route, whatever the method."""
         if len(segments) != len(self.segments):
             return False
         return all(expected in (SERVER_ID, segment) for expected, segment in zip(self.segments, segments, strict=True))
 
     def server(self, segments: list[str]) -> str:
-        """The session server's id in a matching path; empty where the route has none."""
+        """Return the session server's id in a matching path; empty if the route has none."""
         if SERVER_ID not in self.segments:
             return ""
         return segments[self.segments.index(SERVER_ID)]
@@ -56,14 +56,17 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationRequest:
-    """An operation, and the id of the session server it is about, if any."""
+    """An operation, and the id of the session server that it applies to, if any."""
 
     operation: Operation
     server: str = ""
 
 
 def parse_operation(request: HttpRequest) -> OperationRequest | HttpResponse:
-    """The operation asked for, or the response to a request for none: 404 by its path, 405 by its method."""
+    """Return the requested operation, or an error response.
+
+    The status is 400 for a path that is not UTF-8, 404 for an unknown path, and 405 for a wrong method.
+    """
     try:
         segments = [unquote_to_bytes(segment).decode() for segment in request.path.split("/")[1:]]
     except UnicodeDecodeError:
--- a/stoatgw/service/component.py
+++ b/stoatgw/service/component.py
@@ -9,15 +9,15 @@
 
 
 class ServiceComponent:
-    """An optional component of a proxy. By default each method does nothing.
+    """An optional component of a proxy. Each method does nothing unless the component overrides it.
 
-    The service calls the methods in the order in which they are defined here, all from its own task. An exception that
-    ends a background task shuts the proxy down, so an action that may fail now and then has to run under
-    `run_periodically`, or the component has to log the failure itself.
+    The service calls them in the order in which they stand here, all from its own task. A fault of a background task
+    that ends it shuts the proxy down: an action that may fail now and then runs under `run_periodically`, or the
+    component logs the failure itself.
     """
 
     def restore(self) -> None:
-        """Restore the state that an earlier process stored; called before the first endpoint list is loaded.
+        """Restore what outlived an earlier process; called before the first endpoint list is loaded.
 
         Raises:
             ConfigError: The component cannot run as configured.
@@ -35,11 +35,11 @@
         return ()
 
     def is_superseded(self) -> bool:
-        """Return whether another process of this proxy has taken over the clients; called when shutdown begins."""
+        """Whether another process of this proxy accepts the clients from now on; asked when shutdown begins."""
         return False
 
     def begin_shutdown(self) -> None:
-        """Start to release what the component holds; called once the drain has begun, while clients are served."""
+        """Begin to wind down; called once the drain has begun. Clients are still served after it."""
 
     def stop(self) -> None:
-        """Stop immediately; called in reverse order after the drain, just before the process ends."""
+        """End at once; called in reverse order when the drain is over. The process ends after it."""
--- a/stoatgw/telemetry/__init__.py
+++ b/stoatgw/telemetry/__init__.py
@@ -1,5 +1,5 @@
 """What the proxy reports about itself: counters and metrics for operators, and the event log.
 
-Each figure is counted once, where the thing happens, and read without waiting for any task. How the figures reach
-anybody is left to `management` and to `service`.
+Each value is counted in one place, where the event occurs, and is read without waiting for any task. `management` and
+`service` expose the values.
 """
--- a/stoatgw/telemetry/log.py
+++ b/stoatgw/telemetry/log.py
@@ -1,4 +1,4 @@
-"""The event log: one JSON line an event, on standard output."""
+"""The event log: one JSON line per event, on standard output."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
     def __init__(self, name: str) -> None:
         self._name = name
-        self._lost_lines = 0  # since the last that was written
-        self._has_space = _space_check()
+        self._lost_lines = 0  # since the last line that was written
+        self._can_write = _make_writability_check()
 
     def event(self, event: str, **fields: Any) -> None:
-        """Writes a line with the Unix time in seconds, the proxy's name, the event's name and its fields.
+        """Write a line with the Unix time in seconds, the proxy's name, the event's name and its fields.
 
-        It is flushed at once. A closed or full output loses the line and nothing else: the proxy serves on. The next
-        line that is written says how many were lost to a full output.
+        The line is flushed at once. If the output is closed or full, the line is lost and the proxy keeps serving. The
+        next line that is written reports how many were lost to a full output.
         """
-        if not self._has_space():
+        if not self._can_write():
             self._lost_lines += 1
             return
         if self._lost_lines:
@@ -49,15 +49,15 @@
             sys.stdout.buffer.flush()
 
 
-def _space_check() -> Callable[[], bool]:
-    """Returns a function that tells whether a line can be written to standard output without waiting.
+def _make_writability_check() -> Callable[[], bool]:
+    """Return a function that reports whether a line can be written to standard output without waiting.
 
-    A pipe whose reader is late would hold up all sessions, as the log is written in the event loop.
+    A pipe with a slow reader would block all sessions, as the log is written in the event loop.
     """
     try:
         descriptor = sys.stdout.fileno()
         is_pipe = stat.S_ISFIFO(os.fstat(descriptor).st_mode)
-    except (OSError, ValueError):  # closed, or no file
+    except (OSError, ValueError):  # closed, or not a file
         is_pipe = False
     if not is_pipe:
         return lambda: True
@@ -67,9 +67,9 @@
 
 
 class RateLimitedLog:
-    """Writes to an event log at most so many events of each name a second.
+    """Writes at most `max_events_per_s` events of each name per second to an event log.
 
-    For events that a flood of bad clients causes: a line for each would cost more than answering them.
+    Used for events that a flood of misbehaving clients causes: a line for each would cost more than answering them.
     """
 
     def __init__(self, log: EventLog, clock: Clock, max_events_per_s: int = 10) -> None:
@@ -79,26 +79,26 @@
         self._windows: dict[str, _Window] = {}
 
     def event(self, event: str, **fields: Any) -> None:
-        """Writes the event, or only counts it; the next one that is written says how many were left out."""
+        """Write the event, or only count it; the next one that is written reports how many were suppressed."""
         now_us = self._clock.now_us()
         window = self._windows.setdefault(event, _Window(now_us))
         if now_us - window.started_us >= WINDOW_US:
             window.started_us = now_us
             window.written = 0
         if window.written >= self._max_events_per_s:
-            window.left_out += 1
+            window.suppressed += 1
             return
         window.written += 1
-        if window.left_out:
-            fields["left_out"] = window.left_out
-            window.left_out = 0
+        if window.suppressed:
+            fields["left_out"] = window.suppressed
+            window.suppressed = 0
         self._log.event(event, **fields)
 
 
 @dataclass(slots=True)
 class _Window:
-    """What was written of one event in the second in hand, and left out since it was last written."""
+    """How often an event was written in the current second, and suppressed since it was last written."""
 
     started_us: int
     written: int = 0
-    left_out: int = 0
+    suppressed: int = 0
--- a/stoatgw/telemetry/metrics.py
+++ b/stoatgw/telemetry/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that operators read at the second address."""
+"""The metrics that operators read at the management address."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RequestMetrics:
-    """Counts the final answers to clients and what is in flight; written and read in the event loop's thread.
+    """Counts the final answers to clients, the dispatches and the open requests, all in the event loop's thread.
 
     Attributes:
         dispatches: Attempts whose line was written completely to a session server.
@@ -23,25 +23,25 @@
     """
 
     def __init__(self, classes: Iterable[str]) -> None:
-        """Makes metrics for the request classes of these names, all 0.
+        """Create the metrics of the request classes with these names, all 0.
 
-        Every class is there from the first reading on: 0 is a value, a missing line is none.
+        Every class is reported from the first reading on, so that a reader need not treat a missing line as 0.
         """
         self._answers = {outcome: dict.fromkeys(classes, 0) for outcome in RequestOutcome}
         self.dispatches = 0
         self.open_requests = 0
 
     def record_outcome(self, class_name: str, outcome: RequestOutcome) -> None:
-        """Counts a final answer; one to a class that the settings do not name is not counted."""
+        """Count a final answer, unless its request class is not in the settings."""
         if class_name in self._answers[outcome]:
             self._answers[outcome][class_name] += 1
 
     def render(self, targets: int, disabled: int) -> str:
-        """Returns a line for each metric: counters (`|c`) since the process began, and gauges (`|g`).
+        """Return a line for each metric: counters (`|c`) since the start of the process, and gauges (`|g`).
 
         Args:
-            targets: How many session servers are listed.
-            disabled: How many of them the proxy avoids now.
+            targets: Number of session servers in the endpoint list.
+            disabled: Number of them that the proxy avoids now.
         """
         lines = [
             f"proxy.{outcome.value}.{class_name}:{count}|c"
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The event log: never in the way of the sessions, whatever its reader does and whatever bad clients do."""
+"""The event log: a full pipe must not block the sessions, and misbehaving clients must not flood the log."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
         return self.time_us
 
 
-def test_a_reader_that_does_not_read_loses_lines_and_holds_nobody_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_pipe_loses_lines_and_does_not_block(monkeypatch: pytest.MonkeyPatch) -> None:
     read_end, write_end = os.pipe()
     with os.fdopen(write_end, "w") as output, os.fdopen(read_end, "rb") as reader:
         monkeypatch.setattr(sys, "stdout", output)
         log = EventLog("n0")
-        for number in range(5000):  # far more than a pipe holds: a write that waits would never return
+        for number in range(5000):  # far more than fits into a pipe: a blocking write would never return
             log.event("session_ended", id=number)
         received = os.read(read_end, 1 << 20).splitlines()
         log.event("proxy_stopped")
@@ -35,7 +35,7 @@
         assert last["lost_lines"] == 5000 - len(received) > 0
 
 
-def test_events_of_a_flood_are_limited_and_those_left_out_are_counted() -> None:
+def test_events_of_a_flood_are_limited_and_the_suppressed_ones_are_counted() -> None:
     written: list[dict[str, object]] = []
     log = SimpleNamespace(event=lambda event, **fields: written.append({"event": event} | fields))
     clock = FakeClock()
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The second address: requests however they are cut, connections that stay, and what each request answers."""
+"""The management address: requests split at any byte, connections that stay open, and the response to each request."""
 
 from __future__ import annotations
 
@@ -24,23 +24,25 @@
 
 @FIXED
 @given(st.lists(st.integers(0, len(DRAIN_REQUEST))), st.binary(max_size=40))
-def test_a_request_parses_the_same_however_it_is_cut_and_whatever_follows(places: list[int], more: bytes) -> None:
+def test_a_request_parses_the_same_however_it_is_split_and_whatever_follows(
+    positions: list[int], trailing: bytes
+) -> None:
     parser = HttpRequestParser()
-    results = [parser.feed(part) for part in cut(DRAIN_REQUEST, places)]
+    results = [parser.feed(chunk) for chunk in cut(DRAIN_REQUEST, positions)]
     assert results[-1] == HttpRequest("POST", "/v1/proxy/drain")
     assert not any(results[:-1])
-    if more:
-        assert parser.feed(more) == results[-1]
+    if trailing:
+        assert parser.feed(trailing) == results[-1]
 
 
 @FIXED
 @given(st.binary(min_size=1, max_size=300))
-def test_garbage_is_rejected_or_waited_for_and_never_a_request(data: bytes) -> None:
+def test_random_bytes_are_rejected_or_incomplete_and_never_a_request(data: bytes) -> None:
     result = HttpRequestParser().feed(data)
     assert result is None or (isinstance(result, HttpResponse) and result.status == 400)
 
 
-def test_a_request_too_long_is_rejected_before_it_is_complete() -> None:
+def test_a_request_that_is_too_long_is_rejected_before_it_is_complete() -> None:
     parser = HttpRequestParser()
     assert parser.feed(b"GET /v1/readyz HTTP/1.1\r\nHost: ") is None
     result = parser.feed(b"a" * MAX_REQUEST_BYTES)
@@ -63,13 +65,13 @@
         ("POST", "/v1/session-servers/%ff/suspend", 400),
     ],
 )
-def test_a_method_and_a_path_ask_for_an_operation(method: str, path: str, expected: OperationRequest | int) -> None:
+def test_a_method_and_a_path_select_an_operation(method: str, path: str, expected: OperationRequest | int) -> None:
     result = parse_operation(HttpRequest(method, path))
     assert (result.status if isinstance(result, HttpResponse) else result) == expected
 
 
 class StubManagementApi:
-    """Says yes to all but `resume`, which fails."""
+    """Answers "yes" to every operation but `resume`, which fails."""
 
     def execute(self, request: OperationRequest) -> HttpResponse:
         if request.operation is Operation.RESUME:
@@ -77,11 +79,11 @@
         return HttpResponse(200, f"yes: {request.operation.value} {request.server}\n")
 
 
-async def send_request(port: int, data: bytes, *, ends: bool = False) -> bytes:
-    """The response to these bytes; `ends` closes the client's side after them."""
+async def send_request(port: int, data: bytes, *, sends_eof: bool = False) -> bytes:
+    """Return the response to the data; `sends_eof` closes the client's side after sending it."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
-    if ends:
+    if sends_eof:
         writer.write_eof()
     response = await reader.read()
     writer.close()
@@ -101,26 +103,26 @@
     uvloop.run(run())
 
 
-def test_connections_that_stay_do_not_shut_out_complete_requests() -> None:
+def test_connections_that_stay_open_do_not_block_complete_requests() -> None:
     async def test(port: int) -> None:
         idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
         for _, writer in idle[::2]:
             writer.write(b"GET /v1/rea")
         complete = [
-            send_request(port, b"GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n", ends=bool(number % 2))
+            send_request(port, b"GET /v1/readyz HTTP/1.1\r\nHost: a\r\n\r\n", sends_eof=bool(number % 2))
             for number in range(8)
         ]
         for response in await asyncio.gather(*complete):
             assert response.startswith(b"HTTP/1.1 200 OK\r\n")
             assert response.endswith(b"yes: readyz \n")
-        # The oldest was closed for them; one that sent half a request and was kept gets an answer in the end.
+        # The oldest connection was closed to make room. One that sent half a request and stayed open times out.
         assert await idle[0][0].read() == b""
         assert b" 408 " in await idle[-2][0].read()
 
     run_with_listener(test)
 
 
-def test_a_fault_or_a_wrong_request_is_no_yes_and_ends_nothing() -> None:
+def test_a_failing_operation_or_an_invalid_request_is_an_error_and_the_listener_keeps_running() -> None:
     async def test(port: int) -> None:
         for data, status in (
             (b"POST /v1/session-servers/a/resume HTTP/1.1\r\n\r\n", b"500"),
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""The metrics, against what the clients saw over a random history, and their form."""
+"""The metrics: their format, and their values compared with what clients and servers saw in random runs."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
     ]
 
 
-class RandomHistory:
-    """Clients and a server that act at random, and what the clients saw."""
+class RandomWorkload:
+    """Clients and a server that behave randomly, and a record of what the clients saw."""
 
     def __init__(self, seed: int) -> None:
         self._random = random.Random(seed)
         self.answers: Counter[tuple[str, RequestOutcome]] = Counter()  # by class
-        self.disconnected: Counter[str] = Counter()  # clients that left before their answer, by class
+        self.disconnected: Counter[str] = Counter()  # clients that disconnected before their answer, by class
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
@@ -55,13 +55,13 @@
 
     async def run_client(self, proxy: LoopbackProxy) -> None:
         class_name = self._random.choice(CLASSES)
-        act = self._random.random()
+        behavior = self._random.random()
         proxy.last_request_id += 1
         reader, writer = await proxy.connect()
         writer.write(b"OPEN %016x 1 c=%s,d=2000\r\n" % (proxy.last_request_id, class_name.encode()))
-        if act < 0.1:  # does not wait for UP
+        if behavior < 0.1:  # does not wait for UP
             writer.write(b"early\r\n")
-        if act > 0.9:
+        if behavior > 0.9:
             self.disconnected[class_name] += 1
             writer.close()
             return
@@ -73,7 +73,7 @@
 
 
 def read_metrics(proxy: LoopbackProxy) -> dict[str, int]:
-    """Returns the metrics by name."""
+    """Return the metrics by name."""
     values = {}
     for line in proxy.context.metrics.render(1, 0).splitlines():
         name, value = line.split(":")
@@ -83,42 +83,42 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_the_metrics_are_what_the_clients_and_servers_saw(seed: int) -> None:
-    history = RandomHistory(seed)
+    workload = RandomWorkload(seed)
 
     async def test(proxy: LoopbackProxy) -> None:
-        for turn in range(6):
-            await asyncio.gather(*(history.run_client(proxy) for _ in range(10)))
-            if turn == 3:
+        for iteration in range(6):
+            await asyncio.gather(*(workload.run_client(proxy) for _ in range(10)))
+            if iteration == 3:
                 proxy.controller._recovery.recover(RuntimeError("a fault of the policy"))
-            if turn == 4:
+            if iteration == 4:
                 proxy.controller.post(BeginDrain(0, 0))
         await proxy.wait_until_idle()
         metrics = read_metrics(proxy)
         for class_name in CLASSES:
             counted = {outcome: metrics[f"proxy.{outcome.value}.{class_name}"] for outcome in RequestOutcome}
-            seen = {outcome: history.answers[class_name, outcome] for outcome in RequestOutcome}
+            seen = {outcome: workload.answers[class_name, outcome] for outcome in RequestOutcome}
             assert all(counted[outcome] >= seen[outcome] for outcome in RequestOutcome)
-            assert sum(counted.values()) - sum(seen.values()) <= history.disconnected[class_name]
-        # A client that leaves at once may have its attempt cancelled before the server reads its line.
+            assert sum(counted.values()) - sum(seen.values()) <= workload.disconnected[class_name]
+        # The attempt of a client that disconnects at once may be cancelled before the server reads its line.
         received = len(proxy.forwarded_requests)
-        assert received <= metrics["proxy.dispatches"] <= received + history.disconnected.total()
+        assert received <= metrics["proxy.dispatches"] <= received + workload.disconnected.total()
         assert metrics["proxy.concurrent"] == 0
 
-    run_loopback(history.serve, test)
+    run_loopback(workload.serve, test)
 
 
 def test_servers_that_drain_or_failed_are_avoided() -> None:
-    stand = BalancerHarness()
-    stand.list_servers(a=0, b=0, c=0, d=0, e=0)
+    harness = BalancerHarness()
+    harness.list_servers(a=0, b=0, c=0, d=0, e=0)
     for name in "abcde":
-        stand.report(name, 0.1, 5)
-    assert stand.balancer.avoided_servers(stand.now_us) == []
-    stand.handle(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (Endpoint("a", Lifecycle.DRAINING),)))
-    stand.now_us += 1
-    stand.handle(Request("0" * 16, 0, 2_000_000))
-    tried = stand.sent_to()
+        harness.report(name, 0.1, 5)
+    assert harness.balancer.avoided_servers(harness.now_us) == []
+    harness.handle(EndpointUpdate(EndpointUpdateKind.DELTA, 2, (Endpoint("a", Lifecycle.DRAINING),)))
+    harness.now_us += 1
+    harness.handle(Request("0" * 16, 0, 2_000_000))
+    tried = harness.sent_to()
     assert tried is not None
-    stand.end_attempt("0" * 16, tried, AttemptStatus.DROPPED)
-    assert stand.balancer.avoided_servers(stand.now_us) == sorted(["a", tried])
-    stand.now_us += 10_000_000
-    assert stand.balancer.avoided_servers(stand.now_us) == ["a"]
+    harness.end_attempt("0" * 16, tried, AttemptStatus.DROPPED)
+    assert harness.balancer.avoided_servers(harness.now_us) == sorted(["a", tried])
+    harness.now_us += 10_000_000
+    assert harness.balancer.avoided_servers(harness.now_us) == ["a"]
