--- a/tests/test_session_ends.py
+++ b/tests/test_session_ends.py
@@ -27,12 +27,12 @@
 
 
 async def drain(rig: ConversationRig, _process: asyncio.subprocess.Process, port: int) -> None:
-    assert await rig.call(port, "/v1/proxy/drain") == 200
+    assert await rig.send_operation(port, "/v1/proxy/drain") == 200
 
 
 async def suspend_all_servers(rig: ConversationRig, _process: asyncio.subprocess.Process, port: int) -> None:
     for server in SERVER_NAMES:
-        assert await rig.call(port, f"/v1/session-servers/{server}/suspend") == 200
+        assert await rig.send_operation(port, f"/v1/session-servers/{server}/suspend") == 200
 
 
 async def terminate(_rig: ConversationRig, process: asyncio.subprocess.Process, _port: int) -> None:
