--- a/stoatgw/hot_restart/handover.py
+++ b/stoatgw/hot_restart/handover.py
@@ -1,4 +1,4 @@
-"""Which of several processes of one proxy accepts clients. Pure."""
+"""Decides which of several processes of one proxy accepts client connections. No IO."""
 
 from __future__ import annotations
 
@@ -6,18 +6,20 @@
 
 from stoatgw.hot_restart.sibling_processes import ProcessRecord
 
-LOAD_LEARNING_US = 500_000  # a process that will take over first learns for so long how loaded the servers are
-ENDPOINT_LIST_WAIT_US = 2_500_000  # with a cached list it waits for a new one for so long; the platform gives it 6 s
+# How long a process that takes over first learns the servers' load.
+LOAD_LEARNING_US = 500_000
+# How long a process with a cached endpoint list waits for a new one; the platform allows it 6 s.
+ENDPOINT_LIST_WAIT_US = 2_500_000
 
 
 def may_start_accepting(started_us: int, first_update_us: int | None, *, has_endpoints: bool, now_us: int) -> bool:
-    """Whether a process that started while another one accepted may accept.
+    """Return whether a process that started while another one accepted client connections may accept them.
 
     Args:
         started_us: When it started.
-        first_update_us: When discovery itself first sent it the list; None before.
-        has_endpoints: Whether it holds a list, be it a cached one.
-        now_us: The time now.
+        first_update_us: When discovery first sent it the endpoint list; None before that.
+        has_endpoints: Whether it has an endpoint list, which may be a cached one.
+        now_us: The current time.
     """
     if first_update_us is not None:
         return now_us >= first_update_us + LOAD_LEARNING_US
@@ -25,5 +27,5 @@
 
 
 def is_newer_sibling_accepting(own: ProcessRecord, siblings: Iterable[ProcessRecord]) -> bool:
-    """Whether a sibling accepts that began to do so after this process: then that one alone accepts."""
+    """Return whether a sibling began to accept after this process; that sibling then is the only one to accept."""
     return any(sibling.is_accepting and sibling.since_us > own.since_us for sibling in siblings)
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -1,4 +1,4 @@
-"""Carries out a hot restart: whether this process accepts, and how many descriptors its siblings hold."""
+"""Carries out a hot restart: switches accepting on and off, and accounts for the descriptors of sibling processes."""
 
 from __future__ import annotations
 
@@ -12,40 +12,40 @@
 from stoatgw.hot_restart.sibling_processes import ProcessRecord, SiblingProcesses
 
 POLL_INTERVAL_S = 0.1
-BASE_DESCRIPTORS = 24  # of a process, in addition to those of its clients
+BASE_DESCRIPTORS = 24  # descriptors of a process in addition to those of its clients
 
 READ_FAILED = "siblings_read_failed"
 PUBLISH_FAILED = "sibling_publish_failed"
 
 
 class HotRestart:
-    """This process among the processes of its proxy."""
+    """Coordinates this process with the other processes of its proxy."""
 
     def __init__(
         self, folder: str | None, context: ProxyContext, listener: Listener, publisher: EndpointPublisher
     ) -> None:
-        """Prepare; `start` makes this process visible.
+        """Prepare the hot restart; `start` registers this process.
 
         Args:
-            folder: Where the processes of this proxy find one another; None, and there are no siblings.
+            folder: Folder in which the processes of this proxy find one another; with None there are no siblings.
             context: What the proxy's sessions share.
-            listener: The clients' listener, switched on and off here.
-            publisher: Tells when discovery first sent the endpoint list.
+            listener: The clients' listener, which is switched on and off here.
+            publisher: Knows when discovery first sent the endpoint list.
         """
         self._context = context
         self._listener = listener
         self._publisher = publisher
         self._log = context.log
         self._processes = SiblingProcesses(Path(folder)) if folder else None
-        self._own = ProcessRecord(is_accepting=False, since_us=0, descriptors=BASE_DESCRIPTORS)
+        self._own_record = ProcessRecord(is_accepting=False, since_us=0, descriptors=BASE_DESCRIPTORS)
         self._siblings: list[ProcessRecord] = []
-        self._lasting_failures: dict[str, str] = {}  # errors by log event: each is logged once while it lasts
+        self._ongoing_failures: dict[str, str] = {}  # errors by log event: each is logged once while it lasts
         self.is_accepting = False
-        """Whether this process accepts clients now."""
+        """Whether this process accepts client connections now."""
 
     def start(self) -> None:
-        """Become visible, and accept clients unless a sibling still does."""
-        self._own = replace(self._own, since_us=self._context.clock.now_us())
+        """Register this process, and accept client connections unless a sibling still does."""
+        self._own_record = replace(self._own_record, since_us=self._context.clock.now_us())
         self._join()
         self._read_siblings()
         if any(sibling.is_accepting for sibling in self._siblings):
@@ -55,31 +55,31 @@
             self._start_accepting()
 
     def poll(self) -> None:
-        """Follow what the siblings do; to be called every POLL_INTERVAL_S."""
+        """React to the siblings' state; to be called every POLL_INTERVAL_S."""
         self._read_siblings()
         descriptors = BASE_DESCRIPTORS + self._context.descriptor_limiter.descriptors_held
-        if descriptors != self._own.descriptors:
-            self._own = replace(self._own, descriptors=descriptors)
+        if descriptors != self._own_record.descriptors:
+            self._own_record = replace(self._own_record, descriptors=descriptors)
             self._publish()
-        if self._own.is_accepting:
+        if self._own_record.is_accepting:
             self._yield_or_resume()
         else:
             self._take_over_if_due()
 
     def is_superseded(self) -> bool:
-        """Whether a sibling that started later accepts the clients."""
+        """Return whether a sibling that started later accepts client connections."""
         self._read_siblings()
-        return is_newer_sibling_accepting(self._own, self._siblings)
+        return is_newer_sibling_accepting(self._own_record, self._siblings)
 
     def stop(self) -> None:
-        """Stop being visible: this process ends."""
+        """Remove this process's registration, as the process ends."""
         if self._processes is not None:
             self._processes.leave()
 
-    # Accepting.
+    # Accepting client connections.
 
     def _start_accepting(self) -> None:
-        self._own = replace(self._own, is_accepting=True, since_us=self._context.clock.now_us())
+        self._own_record = replace(self._own_record, is_accepting=True, since_us=self._context.clock.now_us())
         self._publish()
         self.is_accepting = True
         self._listener.set_accepting(True)
@@ -87,18 +87,19 @@
     def _take_over_if_due(self) -> None:
         now_us = self._context.clock.now_us()
         has_endpoints = self._context.backends.has_endpoints
-        nobody_accepts = not any(sibling.is_accepting for sibling in self._siblings)  # who did has ended
-        if (nobody_accepts and has_endpoints) or may_start_accepting(
-            self._own.since_us, self._publisher.first_update_us, has_endpoints=has_endpoints, now_us=now_us
+        # This process does not accept only because a sibling did; if none does any longer, that sibling has ended.
+        no_sibling_accepts = not any(sibling.is_accepting for sibling in self._siblings)
+        if (no_sibling_accepts and has_endpoints) or may_start_accepting(
+            self._own_record.since_us, self._publisher.first_update_us, has_endpoints=has_endpoints, now_us=now_us
         ):
             self._log.event("accepting_taken_over", others=len(self._siblings))
             self._start_accepting()
 
     def _yield_or_resume(self) -> None:
-        """Leave accepting to a sibling that began later, and accept again should it end."""
+        """Stop accepting when a sibling that began later accepts, and resume if that sibling ends."""
         if not self._context.lifecycle.is_serving:
             return
-        should_accept = not is_newer_sibling_accepting(self._own, self._siblings)
+        should_accept = not is_newer_sibling_accepting(self._own_record, self._siblings)
         if should_accept == self.is_accepting:
             return
         self.is_accepting = should_accept
@@ -115,7 +116,7 @@
             self._log.event(READ_FAILED, error="TMPDIR is not set")
             return
         try:
-            self._processes.join(self._own)
+            self._processes.join(self._own_record)
         except OSError as error:
             self._log.event(READ_FAILED, error=str(error))
             self._processes = None
@@ -124,11 +125,11 @@
         if self._processes is None:
             return
         try:
-            self._processes.publish(self._own)
+            self._processes.publish(self._own_record)
         except OSError as error:
             self._log_once(PUBLISH_FAILED, error)
         else:
-            self._lasting_failures.pop(PUBLISH_FAILED, None)
+            self._ongoing_failures.pop(PUBLISH_FAILED, None)
 
     def _read_siblings(self) -> None:
         if self._processes is None:
@@ -139,12 +140,12 @@
             self._log_once(READ_FAILED, error)
             self._siblings = []
         else:
-            self._lasting_failures.pop(READ_FAILED, None)
+            self._ongoing_failures.pop(READ_FAILED, None)
         held_by_siblings = sum(sibling.descriptors for sibling in self._siblings)
         self._context.descriptor_limiter.held_by_siblings = held_by_siblings
 
     def _log_once(self, event: str, error: OSError) -> None:
-        """Log a failure that is met at each poll, once while it lasts."""
-        if self._lasting_failures.get(event) != str(error):
-            self._lasting_failures[event] = str(error)
+        """Log a failure that recurs at each poll only once while it lasts."""
+        if self._ongoing_failures.get(event) != str(error):
+            self._ongoing_failures[event] = str(error)
             self._log.event(event, error=str(error))
--- a/stoatgw/hot_restart/sibling_processes.py
+++ b/stoatgw/hot_restart/sibling_processes.py
@@ -1,6 +1,7 @@
-"""The live processes of this proxy: each keeps a locked file in the folder that they share.
+"""Finds the live processes of this proxy: each keeps a locked file in the folder that they share.
 
-A lock ends with its process, however that ends, so a process id used anew or a file left behind misleads nobody.
+A process's lock is released when the process ends, in whatever way. A reused process id or a stale file is therefore
+never mistaken for a live process.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessRecord:
-    """What a process publishes of itself in its locked file.
+    """The state that a process publishes in its locked file.
 
     Attributes:
-        is_accepting: Whether it accepts clients.
-        since_us: When it started or, once it accepts, when it began to (microseconds of Unix time).
-        descriptors: How many it holds.
+        is_accepting: Whether it accepts client connections.
+        since_us: When it started or, once it accepts, when it began to accept (microseconds of Unix time).
+        descriptors: Number of file descriptors that it has open.
     """
 
     is_accepting: bool
@@ -35,12 +36,12 @@
     descriptors: int
 
     def encode(self) -> bytes:
-        """The record as its file holds it."""
+        """Encode the record for its file."""
         return _RECORD.pack(RECORD_VERSION, self.is_accepting, self.since_us, self.descriptors)
 
     @classmethod
     def decode(cls, data: bytes) -> ProcessRecord:
-        """A file's record; one of another version, or half written, is of a process that does not accept yet."""
+        """Decode a file's record; one of another version, or incomplete, is of a process that does not accept yet."""
         if len(data) < _RECORD.size or not data.startswith(RECORD_VERSION):
             return cls(is_accepting=False, since_us=0, descriptors=0)
         _, is_accepting, since_us, descriptors = _RECORD.unpack(data)
@@ -48,27 +49,27 @@
 
 
 class SiblingProcesses:
-    """This process's own locked file, and those of its siblings."""
+    """The locked files of this process and of its siblings."""
 
     def __init__(self, folder: Path) -> None:
-        """Prepare the files' names; `join` creates this process's own."""
+        """Prepare the file names; `join` creates this process's file."""
         self._folder = folder
         self._own_path = folder / f"{FILE_PREFIX}{os.getpid()}{FILE_SUFFIX}"
-        self._draft_path = self._own_path.with_suffix(".draft")
+        self._temporary_path = self._own_path.with_suffix(".draft")
         self._descriptor: int | None = None
 
     def join(self, record: ProcessRecord) -> None:
-        """Be visible to the siblings from now on.
+        """Create this process's locked file, by which the siblings find it.
 
         Raises:
-            OSError: The file cannot be created or locked; none is left behind.
+            OSError: The file cannot be created or locked; no file is left behind.
         """
-        # Locked before it has its name: no sibling ever finds it unlocked.
-        self._descriptor = os.open(self._draft_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        # The file is locked before it is renamed to its final name, so that no sibling ever finds it unlocked.
+        self._descriptor = os.open(self._temporary_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(self._descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
             self.publish(record)
-            self._draft_path.rename(self._own_path)
+            self._temporary_path.rename(self._own_path)
         except OSError:
             self.leave()
             raise
@@ -83,7 +84,7 @@
             os.pwrite(self._descriptor, record.encode(), 0)
 
     def read_siblings(self) -> list[ProcessRecord]:
-        """The records of the other live processes; files of those that have ended are removed.
+        """Return the records of the other live processes; remove the files of those that have ended.
 
         Raises:
             OSError: A file cannot be read.
@@ -99,18 +100,18 @@
         return siblings
 
     def leave(self) -> None:
-        """Be visible no more; does nothing before `join`."""
+        """Remove this process's file; do nothing before `join`."""
         if self._descriptor is None:
             return
         with closing_descriptor(self._descriptor):
             self._descriptor = None
-            for path in (self._own_path, self._draft_path):
+            for path in (self._own_path, self._temporary_path):
                 with contextlib.suppress(OSError):
                     path.unlink()
 
 
 def _read_locked(path: Path) -> ProcessRecord | None:
-    """The record in a file that a live process has locked; a file without a lock is removed."""
+    """Return the record in a file that a live process has locked; remove a file that is not locked."""
     with closing_descriptor(os.open(path, os.O_RDWR | os.O_CLOEXEC)) as descriptor:
         try:
             fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
--- a/stoatgw/suspension/applier.py
+++ b/stoatgw/suspension/applier.py
@@ -1,4 +1,4 @@
-"""Brings suspensions to all who go by them: the endpoint list, the backends, and the clients of a suspended server."""
+"""Applies suspensions to the endpoint list, the backends, and the clients of a suspended server."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 from stoatgw.suspension.overrides import EndpointOverrides, Suspensions, SuspensionSource
 from stoatgw.telemetry.log import EventLog
 
-# Well before the server is restarted, yet spread out, so that its clients do not all reach the others at once.
+# Short enough to end well before the server is restarted, but long enough that its clients do not all reach the other
+# servers at once.
 EVACUATION_DURATION_US = 2_000_000
 
 
 class SuspensionApplier:
-    """Carries out what a source of suspensions has decided."""
+    """Applies the suspensions that a source has decided on."""
 
     def __init__(
         self,
@@ -26,11 +27,11 @@
         """Prepare the applier.
 
         Args:
-            overrides: Holds the suspensions of all sources.
+            overrides: Stores the suspensions of all sources.
             publisher: Publishes the servers whose suspension has changed.
-            queue: The controller's queue, on which evacuations are posted.
-            clock: Tells when a server was resumed.
-            log: Gets an event for each server suspended or resumed.
+            queue: The controller's queue, to which evacuations are posted.
+            clock: Provides the time at which a server was resumed.
+            log: Receives an event for each server suspended or resumed.
         """
         self.overrides = overrides
         self._publisher = publisher
@@ -44,7 +45,7 @@
         source: SuspensionSource,
         evacuation_duration_us: int = EVACUATION_DURATION_US,
     ) -> None:
-        """Replace the suspensions of a source; clients of newly suspended servers are migrated over the duration."""
+        """Replace the suspensions of a source; migrate clients of newly suspended servers, spread over the duration."""
         change = self.overrides.replace(suspensions, self._clock.now_us(), source)
         for server in change.suspended:
             self._log.event("server_suspended", backend=server)
--- a/stoatgw/suspension/overrides.py
+++ b/stoatgw/suspension/overrides.py
@@ -1,4 +1,4 @@
-"""Suspensions laid over discovery's endpoint list. Pure: the time is handed in."""
+"""Suspensions applied to discovery's endpoint list. No IO: the caller passes the time."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from stoatgw.decisions.interface import Endpoint, Lifecycle
 
 Suspensions = Mapping[str, int]
-"""Suspended session servers, each with the time since when (microseconds of Unix time)."""
+"""Suspended session servers by name, each with the start of its suspension (microseconds of Unix time)."""
 
 
 class SuspensionSource(Enum):
-    """Who has a server suspended; one that both have suspended is used again once neither has."""
+    """What suspended a server; one that both sources have suspended is used again once neither suspends it."""
 
     OPERATOR = "operator"
     MAINTENANCE = "maintenance"
@@ -36,7 +36,7 @@
 
 
 class EndpointOverrides:
-    """The suspensions of all sources, and how an endpoint looks under them."""
+    """The suspensions of all sources, and their effect on an endpoint."""
 
     def __init__(self) -> None:
         self._by_source: dict[SuspensionSource, dict[str, int]] = {}
@@ -45,17 +45,17 @@
 
     @property
     def suspensions(self) -> Suspensions:
-        """The suspensions of all sources together, each since the earliest of them."""
+        """The suspensions of all sources combined; each server's suspension starts with the earliest source's."""
         return self._suspensions
 
     def suspensions_from(self, source: SuspensionSource) -> Suspensions:
-        """The suspensions of one source."""
+        """Return the suspensions of one source."""
         return self._by_source.get(source, {})
 
     def replace(
         self, suspensions: Suspensions, now_us: int, source: SuspensionSource = SuspensionSource.OPERATOR
     ) -> SuspensionChange:
-        """Replace the suspensions of a source; returns which servers are thereby suspended or resumed."""
+        """Replace the suspensions of a source; return which servers are thereby suspended or resumed."""
         self._by_source[source] = dict(suspensions)
         before = self._suspensions
         self._suspensions = self._merge_sources()
@@ -70,15 +70,16 @@
         return change
 
     def apply(self, endpoint: Endpoint) -> Endpoint:
-        """An endpoint of the list as the decisions are to see it."""
+        """Return an endpoint of the list as the decisions have to see it."""
         if endpoint.name in self._suspensions:
             if endpoint.lifecycle is not Lifecycle.ACTIVE:
                 return endpoint
             return replace(endpoint, lifecycle=Lifecycle.DRAINING)
         past = self._past.get(endpoint.name)
         if past is not None and endpoint.started_us < past.suspended_us:
-            # Operators restart a server while it is suspended, and the list may bring that late: until then the
-            # server counts as started when it was resumed, and is warmed up no faster than one just started.
+            # Operators restart a server while it is suspended, and the endpoint list may report the restart late. Until
+            # then the server counts as started when it was resumed, so that it is warmed up no faster than a server
+            # that has just started.
             return replace(endpoint, started_us=past.resumed_us)
         return endpoint
 
--- a/stoatgw/suspension/service.py
+++ b/stoatgw/suspension/service.py
@@ -1,4 +1,4 @@
-"""The operators' suspensions: changed by calls and by the shared file, brought to the applier."""
+"""The operators' suspensions: changed by management requests and by the shared file, and passed to the applier."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from stoatgw.suspension.store import FileVersion, SuspensionStore, SuspensionStoreError
 from stoatgw.telemetry.log import EventLog
 
-POLL_INTERVAL_S = 0.2  # a call to the other process of this proxy takes effect here within so long
+POLL_INTERVAL_S = 0.2  # a change made through another process of this proxy takes effect here within this time
 
 
 class SuspensionNotPersistedError(Exception):
-    """A server is suspended, but in this process alone; the message says why."""
+    """A server is suspended, but only in this process; the message gives the reason."""
 
 
 class StillSuspendedError(Exception):
-    """A server could not be resumed; the message says why."""
+    """A server could not be resumed; the message gives the reason."""
 
 
 class SuspensionService:
@@ -31,11 +31,11 @@
         """Prepare the service.
 
         Args:
-            folder: Where the shared file is; None, and suspensions hold in this process alone.
-            applier: Brings the suspensions to all who go by them.
-            publisher: Knows which session servers there are.
-            clock: Tells since when a server is suspended.
-            log: Gets an event for each failure of the shared file.
+            folder: Folder of the shared file; with None, suspensions apply only to this process.
+            applier: Applies the suspensions.
+            publisher: Knows which session servers are in the endpoint list.
+            clock: Provides the time at which a server is suspended.
+            log: Receives an event for each failure to read or write the shared file.
         """
         self._store = SuspensionStore(Path(folder)) if folder else None
         self._applier = applier
@@ -46,20 +46,20 @@
         self._applied_version: FileVersion | None = None
 
     def start(self) -> None:
-        """Restore what was suspended before this process began; to be called before the first endpoint list."""
+        """Restore the suspensions from before this process started; to be called before the first endpoint list."""
         if self._store is None:
             self._log.event("suspension_write_failed", error="TMPDIR is not set")
         self.poll()
 
     def has_server(self, server: str) -> bool:
-        """Whether there is such a session server, in the endpoint list or suspended."""
+        """Return whether a session server is in the endpoint list or suspended."""
         return self._publisher.has_endpoint(server) or server in self._overrides.suspensions
 
     def suspend(self, server: str) -> None:
         """Suspend a server from now on.
 
         Raises:
-            SuspensionNotPersistedError: It is suspended, but only while this process lives.
+            SuspensionNotPersistedError: It is suspended, but only in this process and until the process ends.
         """
         now_us = self._clock.now_us()
         suspensions = dict(self._overrides.suspensions_from(SuspensionSource.OPERATOR))
@@ -79,7 +79,7 @@
         """Use a server again from now on.
 
         Raises:
-            StillSuspendedError: The shared file cannot be changed, or a maintenance has the server suspended.
+            StillSuspendedError: The shared file cannot be changed, or a maintenance keeps the server suspended.
         """
         suspensions = dict(self._overrides.suspensions_from(SuspensionSource.OPERATOR))
         suspensions.pop(server, None)
@@ -94,7 +94,7 @@
             raise StillSuspendedError("the maintenance has it out")
 
     def poll(self) -> None:
-        """Take over what another process of this proxy has changed; to be called every POLL_INTERVAL_S."""
+        """Apply what another process of this proxy has changed; to be called every POLL_INTERVAL_S."""
         if self._store is None:
             return
         version = self._store.version()
@@ -103,7 +103,7 @@
         self._applied_version = version
         try:
             suspensions = self._store.load()
-        except SuspensionStoreError as error:  # what is suspended here stays so
+        except SuspensionStoreError as error:  # servers suspended in this process stay suspended
             self._log.event("suspension_read_failed", error=str(error))
             return
         self._apply(suspensions)
--- a/stoatgw/suspension/store.py
+++ b/stoatgw/suspension/store.py
@@ -1,4 +1,4 @@
-"""The operators' suspensions in one small file: versioned, checksummed, replaced in one step, changed under a lock."""
+"""The operators' suspensions in one small file: versioned, checksummed, replaced atomically, changed under a lock."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from stoatgw.suspension.overrides import Suspensions
 
 FILE_NAME = "stoatgw-suspended"
-HEADER = b"stoatgw-suspended 1 "  # its version; the checksum of the rest follows
+HEADER = b"stoatgw-suspended 1 "  # the file's kind and version, followed by the checksum of the body
 MAX_FILE_BYTES = 1 << 20
 
 
@@ -24,7 +24,7 @@
 
     Attributes:
         file: The file's name, without its folder.
-        reason: What is wrong with it.
+        reason: Why it cannot be read or written.
     """
 
     def __init__(self, file: str, reason: str) -> None:
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FileVersion:
-    """Differs whenever the file has been replaced."""
+    """Identifies one state of the file; differs whenever the file has been replaced."""
 
     inode: int
     modified_ns: int
@@ -43,16 +43,16 @@
 
 
 def encode(suspensions: Suspensions) -> bytes:
-    """The file's bytes."""
+    """Encode suspensions as the bytes of the file."""
     body = orjson.dumps(dict(suspensions), option=orjson.OPT_SORT_KEYS)
     return frame(HEADER, body)
 
 
 def decode(data: bytes) -> dict[str, int]:
-    """The suspensions that the file's bytes hold.
+    """Decode the suspensions from the bytes of the file.
 
     Raises:
-        ValueError: The bytes are no such file, or damaged.
+        ValueError: The bytes are not a suspensions file, or are damaged.
     """
     suspensions = orjson.loads(unframe(HEADER, data, "is none of ours"))
     if not isinstance(suspensions, dict) or not all(type(since_us) is int for since_us in suspensions.values()):
@@ -61,14 +61,14 @@
 
 
 class SuspensionStore:
-    """The shared file. Another process of this proxy may change it at any time."""
+    """The shared file, which another process of this proxy may change at any time."""
 
     def __init__(self, folder: Path) -> None:
         self._path = folder / FILE_NAME
         self._lock_path = folder / f"{FILE_NAME}.lock"
 
     def version(self) -> FileVersion | None:
-        """What tells one state of the file from another; None without a file."""
+        """Return the identity of the file's current state; None if there is no file."""
         try:
             stat = self._path.stat()
         except OSError:
@@ -76,10 +76,10 @@
         return FileVersion(stat.st_ino, stat.st_mtime_ns, stat.st_size)
 
     def load(self) -> dict[str, int]:
-        """All suspensions; none without a file.
+        """Return all suspensions; none if there is no file.
 
         Raises:
-            SuspensionStoreError: The file cannot be read; it is left as it is.
+            SuspensionStoreError: The file cannot be read; it is left unchanged.
         """
         try:
             with self._path.open("rb") as file:
@@ -92,28 +92,31 @@
             raise SuspensionStoreError(self._path.name, str(error)) from error
 
     def suspend(self, server: str, since_us: int) -> dict[str, int]:
-        """Add a server, unless it is suspended already; returns all suspensions.
+        """Add a server, unless it is suspended already; return all suspensions.
 
         Raises:
             SuspensionStoreError: The file cannot be read or written; nothing has changed.
         """
-        with self._changing() as suspensions:
+        with self._locked_update() as suspensions:
             suspensions.setdefault(server, since_us)
         return suspensions
 
     def resume(self, server: str) -> dict[str, int]:
-        """Remove a server, if it is suspended; returns all suspensions.
+        """Remove a server, if it is suspended; return all suspensions.
 
         Raises:
             SuspensionStoreError: The file cannot be read or written; nothing has changed.
         """
-        with self._changing() as suspensions:
+        with self._locked_update() as suspensions:
             suspensions.pop(server, None)
         return suspensions
 
     @contextmanager
-    def _changing(self) -> Iterator[dict[str, int]]:
-        """All suspensions, written back at the end of the block; other processes wait for that one small write."""
+    def _locked_update(self) -> Iterator[dict[str, int]]:
+        """Load all suspensions under a lock and write them back after the block.
+
+        Other processes wait only for that one small write.
+        """
         try:
             lock = os.open(self._lock_path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         except OSError as error:
--- a/tests/operator_files.py
+++ b/tests/operator_files.py
@@ -1,4 +1,4 @@
-"""Operators' files that cannot be used."""
+"""Checks that operators' files which cannot be used are rejected."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def assert_rejected_in_one_line(folder: Path, text: str, field: str) -> None:
-    """A file with this text is rejected by one line that names the file and the field."""
+    """Check that a file with this text is rejected with one line that names the file and the field."""
     file = folder / "own.toml"
     file.write_text("version = 1\n" + text)
     with pytest.raises(ConfigError) as caught:
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -1,4 +1,4 @@
-"""What tests need that run the program itself: a discovery service, a free port, and its log's events."""
+"""Helpers of tests that run a proxy process: a discovery service, a free port, and the events of the process's log."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class StubDiscovery:
-    """Sends one object to each call and then stays silent; keeps the request lines."""
+    """Answers each request with the same body and then sends nothing more; records the request lines."""
 
     body: bytes
     requests: asyncio.Queue[bytes] = field(default_factory=asyncio.Queue)
@@ -39,7 +39,7 @@
 
 
 def free_port() -> int:
-    """A port of 127.0.0.1 that nobody listens on, and that no outgoing connection is given."""
+    """Return a port of 127.0.0.1 that is not in use and that the system does not assign to outgoing connections."""
     return addresses.free_port("127.0.0.1")
 
 
@@ -48,9 +48,9 @@
 
 
 async def next_event(log: asyncio.StreamReader, name: str) -> dict[str, Any]:
-    """The next event of that name in a process's log; those before it are passed over."""
+    """Return the next event of the given name in a process's log, and skip those before it."""
     while line := await log.readline():
         event: dict[str, Any] = json.loads(line)
         if event["event"] == name:
             return event
-    raise AssertionError(f"ended before {name}")
+    raise AssertionError(f"the log ended before the event {name}")
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: the inherited socket, the live processes, which one accepts; and real processes on loopback."""
+"""Hot restart: the inherited socket, the live processes and which of them accepts; with real processes on loopback."""
 
 from __future__ import annotations
 
@@ -32,30 +32,30 @@
 
 
 @pytest.fixture
-def listening() -> Iterator[socket.socket]:
+def listening_socket() -> Iterator[socket.socket]:
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         sock.listen()
         yield sock
 
 
-def test_an_inherited_socket_is_checked_and_one_line_names_the_field(listening: socket.socket) -> None:
-    here = Address(*listening.getsockname())
-    assert not adopt_listening_socket(str(os.dup(listening.fileno())), here).getblocking()
+def test_an_inherited_socket_is_checked_and_one_line_names_the_field(listening_socket: socket.socket) -> None:
+    listen_address = Address(*listening_socket.getsockname())
+    assert not adopt_listening_socket(str(os.dup(listening_socket.fileno())), listen_address).getblocking()
     datagram = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     not_listening = socket.socket()
     for number, address in (
-        ("4x", here),
-        ("-1", here),
-        ("99999", here),
-        (str(os.open("/dev/null", 0)), here),
-        (str(datagram.fileno()), here),
-        (str(not_listening.fileno()), here),
-        (str(listening.fileno()), Address("127.0.0.1", 1)),
+        ("4x", listen_address),
+        ("-1", listen_address),
+        ("99999", listen_address),
+        (str(os.open("/dev/null", 0)), listen_address),
+        (str(datagram.fileno()), listen_address),
+        (str(not_listening.fileno()), listen_address),
+        (str(listening_socket.fileno()), Address("127.0.0.1", 1)),
     ):
         with pytest.raises(ConfigError, match=r"^LB_LISTEN_FD: [^\n]+$"):
             adopt_listening_socket(number, address)
-    assert listening.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # still as it was
+    assert listening_socket.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN)  # it still listens
 
 
 def test_only_live_processes_are_found(tmp_path: Path) -> None:
@@ -83,7 +83,7 @@
         (5, True, LOAD_LEARNING_US + 5, True),
     ],
 )
-def test_a_process_beside_another_accepts_once_it_knows_the_servers(
+def test_a_process_takes_over_once_it_knows_the_servers(
     first_update_us: int | None, has_endpoints: bool, now_us: int, expected: bool
 ) -> None:
     assert may_start_accepting(0, first_update_us, has_endpoints=has_endpoints, now_us=now_us) == expected
@@ -99,11 +99,11 @@
 
 
 class Platform:
-    """Holds the clients' socket, discovery and a session server, and starts processes of one proxy."""
+    """Owns the listening socket, runs discovery and a session server, and starts processes of one proxy."""
 
-    def __init__(self, folder: Path, listening: socket.socket) -> None:
+    def __init__(self, folder: Path, listening_socket: socket.socket) -> None:
         self.folder = folder
-        self.listening = listening
+        self.listening_socket = listening_socket
         self.clients_started = 0
         (folder / "tmp").mkdir()
 
@@ -117,29 +117,29 @@
         port = server.sockets[0].getsockname()[1]
         endpoints = json.dumps(page(entry(hostPort=f"127.0.0.1:{port}"))).encode() + b"\n"
         discovery = await start_discovery(endpoints)
-        host, port = self.listening.getsockname()
+        host, port = self.listening_socket.getsockname()
         self.config_path = self.folder / "config.json"
         write_config(self.config_path, listen=f"{host}:{port}", discovery=discovery.address)
 
     async def start_process(self) -> tuple[asyncio.subprocess.Process, int]:
-        """A process, and the port of its second address."""
+        """Start a process and wait for its `ready` event; return it with the port of its management address."""
         port = free_port()
-        descriptor = self.listening.fileno()
+        descriptor = self.listening_socket.fileno()
         variables = {
             "LB_CONFIG": str(self.config_path),
             "LB_MANAGEMENT": f"127.0.0.1:{port}",
             "LB_LISTEN_FD": str(descriptor),
             "TMPDIR": str(self.folder / "tmp"),
         }
-        program = await asyncio.create_subprocess_exec(
+        process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "stoatgw", env=os.environ | variables, stdout=-1, pass_fds=[descriptor]
         )
-        assert program.stdout is not None
-        await next_event(program.stdout, "ready")
-        return program, port
+        assert process.stdout is not None
+        await next_event(process.stdout, "ready")
+        return process, port
 
     async def send_operation(self, port: int, path: str, method: str = "POST") -> tuple[int, str]:
-        """The status and body that the second address answers with."""
+        """Send a request to the management address; return the status and body of its response."""
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         head, _, body = (await reader.read()).partition(b"\r\n\r\n")
@@ -150,31 +150,31 @@
         while (await self.send_operation(port, "/v1/readyz", "GET"))[0] != 200:
             await asyncio.sleep(0.02)
 
-    async def first_line(self, request: bytes) -> tuple[bytes, asyncio.StreamReader, asyncio.StreamWriter]:
-        """What a client's request line is answered with, and the connection."""
-        reader, writer = await asyncio.open_connection(*self.listening.getsockname())
+    async def send_line(self, request: bytes) -> tuple[bytes, asyncio.StreamReader, asyncio.StreamWriter]:
+        """Send a request line as a client; return the first line of the answer and the connection."""
+        reader, writer = await asyncio.open_connection(*self.listening_socket.getsockname())
         writer.write(request)
         return await reader.readline(), reader, writer
 
     async def run_client(self) -> bytes:
-        """One client from its request to the line that ends it."""
+        """Run a client until its connection ends; return the last line that it received."""
         self.clients_started += 1
-        last, reader, _ = await self.first_line(open_line(self.clients_started))
-        while last.startswith(b"UP") and (line := await reader.readline()):
-            last = line
-        return last
+        last_line, reader, _ = await self.send_line(open_line(self.clients_started))
+        while last_line.startswith(b"UP") and (line := await reader.readline()):
+            last_line = line
+        return last_line
 
 
 def open_line(number: int) -> bytes:
     return b"OPEN %016x 1 c=chat,d=2000\r\n" % number
 
 
-async def play_take_over(platform: Platform) -> None:
+async def run_take_over(platform: Platform) -> None:
     old, port = await platform.start_process()
     await platform.wait_for_readiness(port)
     clients = [asyncio.ensure_future(platform.run_client()) for _ in range(5)]
-    # Connected before the handover, sends its request after it: it has to be served.
-    early = await asyncio.open_connection(*platform.listening.getsockname())
+    # A client that connects before the handover and sends its request after it has to be served.
+    early = await asyncio.open_connection(*platform.listening_socket.getsockname())
     await asyncio.sleep(0.1)
     new, port = await platform.start_process()
     await platform.wait_for_readiness(port)
@@ -190,12 +190,12 @@
     ] == 6  # the other process accepted all later ones
     assert await old.wait() == 0
     assert [await each for each in clients] == [b"MOVE\r\n"] * 5
-    assert (await platform.first_line(b"PING\r\n"))[0] == b"PONG\r\n"
-    # Another process that is killed before it is ready: the one that serves goes on.
+    assert (await platform.send_line(b"PING\r\n"))[0] == b"PONG\r\n"
+    # A third process is killed before it takes over: the one that serves continues.
     third, _ = await platform.start_process()
     third.kill()
     await third.wait()
-    assert (await platform.first_line(open_line(98)))[0].startswith(b"UP")
+    assert (await platform.send_line(open_line(98)))[0].startswith(b"UP")
     new.send_signal(signal.SIGTERM)
     assert await new.wait() == 0
     assert [await each for each in more] == [b"MOVE\r\n"] * 12
@@ -205,9 +205,9 @@
 
 
 @pytest.fixture
-def run_on_platform(tmp_path: Path, listening: socket.socket) -> Callable[[PlatformTest], None]:
+def run_on_platform(tmp_path: Path, listening_socket: socket.socket) -> Callable[[PlatformTest], None]:
     async def run(test: PlatformTest) -> None:
-        platform = Platform(tmp_path, listening)
+        platform = Platform(tmp_path, listening_socket)
         await platform.start_services()
         async with asyncio.timeout(40):
             await test(platform)
@@ -215,51 +215,51 @@
     return lambda test: asyncio.run(run(test))
 
 
-def test_a_second_process_takes_over_and_nobody_is_lost(run_on_platform: Callable[[PlatformTest], None]) -> None:
-    run_on_platform(play_take_over)
+def test_a_second_process_takes_over_and_no_client_is_lost(run_on_platform: Callable[[PlatformTest], None]) -> None:
+    run_on_platform(run_take_over)
 
 
 def test_a_drained_proxy_migrates_all_and_serves_again_once_activated(
     run_on_platform: Callable[[PlatformTest], None],
 ) -> None:
     async def test(platform: Platform) -> None:
-        program, port = await platform.start_process()
+        process, port = await platform.start_process()
         await platform.wait_for_readiness(port)
         clients = [asyncio.ensure_future(platform.run_client()) for _ in range(5)]
         await asyncio.sleep(0.1)
         for _ in range(2):
             assert (await platform.send_operation(port, "/v1/proxy/drain"))[0] == 200
-        assert (await platform.first_line(b"PING\r\n"))[0] == b"BUSY\r\n"
+        assert (await platform.send_line(b"PING\r\n"))[0] == b"BUSY\r\n"
         assert (await platform.send_operation(port, "/v1/readyz", "GET"))[0] == 503
         assert [await each for each in clients] == [b"MOVE\r\n"] * 5
         assert (await platform.send_operation(port, "/v1/proxy/activate"))[0] == 200
-        assert (await platform.first_line(b"PING\r\n"))[0] == b"PONG\r\n"
-        assert (await platform.first_line(open_line(9)))[0].startswith(b"UP")
+        assert (await platform.send_line(b"PING\r\n"))[0] == b"PONG\r\n"
+        assert (await platform.send_line(open_line(9)))[0].startswith(b"UP")
         await platform.send_operation(port, "/v1/proxy/drain")
-        program.send_signal(signal.SIGTERM)
-        assert await program.wait() == 0
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
 
     run_on_platform(test)
 
 
-def test_a_suspension_holds_over_a_hot_restart_until_the_server_is_resumed(
+def test_a_suspension_persists_across_a_hot_restart_until_the_server_is_resumed(
     run_on_platform: Callable[[PlatformTest], None],
 ) -> None:
     async def test(platform: Platform) -> None:
-        old, one = await platform.start_process()
-        await platform.wait_for_readiness(one)
-        assert (await platform.send_operation(one, "/v1/session-servers/s-9/suspend"))[0] == 404
-        assert (await platform.send_operation(one, "/v1/session-servers/s-1/suspend"))[0] == 200
-        assert "proxy.targets_disabled:1|g" in (await platform.send_operation(one, "/v1/metrics", "GET"))[1]
-        new, two = await platform.start_process()
-        await platform.wait_for_readiness(two)
+        old, old_port = await platform.start_process()
+        await platform.wait_for_readiness(old_port)
+        assert (await platform.send_operation(old_port, "/v1/session-servers/s-9/suspend"))[0] == 404
+        assert (await platform.send_operation(old_port, "/v1/session-servers/s-1/suspend"))[0] == 200
+        assert "proxy.targets_disabled:1|g" in (await platform.send_operation(old_port, "/v1/metrics", "GET"))[1]
+        new, new_port = await platform.start_process()
+        await platform.wait_for_readiness(new_port)
         old.send_signal(signal.SIGTERM)
         assert await old.wait() == 0
         for keyword, operation in ((b"BUSY", "suspend"), (b"UP", "resume")):
             for _ in range(2):
-                assert (await platform.send_operation(two, f"/v1/session-servers/s-1/{operation}"))[0] == 200
+                assert (await platform.send_operation(new_port, f"/v1/session-servers/s-1/{operation}"))[0] == 200
             platform.clients_started += 1
-            answer, _, _ = await platform.first_line(open_line(platform.clients_started))
+            answer, _, _ = await platform.send_line(open_line(platform.clients_started))
             assert answer.startswith(keyword)
         new.send_signal(signal.SIGTERM)
         assert await new.wait() == 0
@@ -272,17 +272,17 @@
         first, port = await platform.start_process()
         await platform.wait_for_readiness(port)
         second, port = await platform.start_process()
-        first.kill()  # before the other is ready
+        first.kill()  # before the second process accepts
         await platform.wait_for_readiness(port)
         third, port = await platform.start_process()
         await platform.wait_for_readiness(port)
         second.send_signal(signal.SIGTERM)
         second.kill()  # while it migrates its sessions
-        fourth, port = await platform.start_process()  # and the next hot restart at once
+        fourth, port = await platform.start_process()  # the next hot restart follows at once
         await platform.wait_for_readiness(port)
         third.send_signal(signal.SIGTERM)
         assert await third.wait() == 0
-        assert (await platform.first_line(open_line(7)))[0].startswith(b"UP")
+        assert (await platform.send_line(open_line(7)))[0].startswith(b"UP")
         fourth.kill()
         for each in (first, second, fourth):
             await each.wait()
@@ -290,23 +290,23 @@
     run_on_platform(test)
 
 
-def test_a_state_folder_that_cannot_be_used_ends_no_process(run_on_platform: Callable[[PlatformTest], None]) -> None:
+def test_a_process_runs_without_a_usable_state_folder(run_on_platform: Callable[[PlatformTest], None]) -> None:
     async def test(platform: Platform) -> None:
-        (platform.folder / "tmp").rmdir()  # TMPDIR names a folder that is gone
-        program, port = await platform.start_process()
+        (platform.folder / "tmp").rmdir()  # TMPDIR names a folder that no longer exists
+        process, port = await platform.start_process()
         await platform.wait_for_readiness(port)
         assert (await platform.send_operation(port, "/v1/session-servers/s-1/suspend"))[0] == 500
         await platform.send_operation(port, "/v1/proxy/drain")
-        program.send_signal(signal.SIGHUP)  # a reload leaves a drain as it is
+        process.send_signal(signal.SIGHUP)  # a reload does not affect a drain
         assert (await platform.send_operation(port, "/v1/readyz", "GET"))[0] == 503
-        program.send_signal(signal.SIGTERM)
-        assert await program.wait() == 0
+        process.send_signal(signal.SIGTERM)
+        assert await process.wait() == 0
 
     run_on_platform(test)
 
 
-def test_a_fault_of_a_periodic_action_does_not_end_its_repetition() -> None:
-    async def loop() -> int:
+def test_a_periodic_action_is_repeated_after_an_exception() -> None:
+    async def run() -> int:
         runs = 0
 
         def fail() -> None:
@@ -321,4 +321,4 @@
         task.cancel()
         return runs
 
-    assert asyncio.run(loop()) >= 3
+    assert asyncio.run(run()) >= 3
--- a/tests/test_stored_suspensions.py
+++ b/tests/test_stored_suspensions.py
@@ -1,6 +1,6 @@
-"""Files that version f58f876 wrote, which an older process of the same proxy may still write and read.
+"""The format of stored files: version f58f876 wrote it, and an older process of the same proxy may still use it.
 
-The samples under `tests/samples` were written by that version's own code; they are never written anew.
+The samples under `tests/samples` were written by that version's code; they must not be regenerated.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     assert SuspensionStore(tmp_path).load() == SUSPENSIONS
 
 
-def test_suspensions_are_written_as_an_older_version_did(tmp_path: Path) -> None:
+def test_suspensions_are_written_as_an_older_version_wrote_them(tmp_path: Path) -> None:
     store = SuspensionStore(tmp_path)
     for server, since_us in SUSPENSIONS.items():
         store.suspend(server, since_us)
@@ -46,7 +46,9 @@
 
 
 @pytest.mark.parametrize(("sample", "record"), RECORDS)
-def test_a_process_is_published_as_an_older_version_did(tmp_path: Path, sample: str, record: ProcessRecord) -> None:
+def test_a_process_writes_its_record_as_an_older_version_did(
+    tmp_path: Path, sample: str, record: ProcessRecord
+) -> None:
     processes = SiblingProcesses(tmp_path)
     processes.join(record)
     path = tmp_path / f"stoatgw-process-{os.getpid()}.lock"
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Suspensions: the overrides against a model, the file cut at every byte, and changes that cannot be persisted."""
+"""Suspensions: overrides compared with a model, the file truncated at any byte, and changes that cannot be saved."""
 
 from __future__ import annotations
 
@@ -46,7 +46,8 @@
     now_us = 1_000
     listed = {name: Endpoint(name) for name in "ab"}
     suspended: dict[str, int] = {}
-    unproved: dict[str, int] = {}  # suspended since, for those resumed whose restart no list has shown yet
+    # For each resumed server whose restart no list has reported yet: the start of its suspension.
+    unconfirmed: dict[str, int] = {}
     for step, name, state, is_restarted in steps:
         now_us += 10
         if step == "list":
@@ -55,32 +56,32 @@
         elif step == "suspend":
             suspended.setdefault(name, now_us)
         elif name in suspended:
-            unproved[name] = suspended.pop(name)
+            unconfirmed[name] = suspended.pop(name)
         overrides.replace(suspended, now_us)
         for endpoint in listed.values():
-            seen = overrides.apply(endpoint)
+            overridden = overrides.apply(endpoint)
             if endpoint.name in suspended:
-                assert seen.lifecycle is not Lifecycle.ACTIVE
+                assert overridden.lifecycle is not Lifecycle.ACTIVE
             else:
-                assert seen.lifecycle is endpoint.lifecycle
-                is_proved = endpoint.started_us >= unproved.get(endpoint.name, 0)
-                assert (seen.started_us == endpoint.started_us) == is_proved
-                assert seen.started_us >= endpoint.started_us
+                assert overridden.lifecycle is endpoint.lifecycle
+                is_confirmed = endpoint.started_us >= unconfirmed.get(endpoint.name, 0)
+                assert (overridden.started_us == endpoint.started_us) == is_confirmed
+                assert overridden.started_us >= endpoint.started_us
 
 
-def test_a_file_cut_or_changed_at_any_byte_is_reported_and_not_believed(tmp_path: Path) -> None:
+def test_a_file_truncated_or_changed_at_any_byte_is_reported_and_not_used(tmp_path: Path) -> None:
     complete = encode({"s-1": 5, "s-2": 6})
     store = SuspensionStore(tmp_path)
     assert store.load() == {}
     assert store.version() is None
-    for place in range(len(complete)):
-        (tmp_path / FILE_NAME).write_bytes(complete[:place])
+    for position in range(len(complete)):
+        (tmp_path / FILE_NAME).write_bytes(complete[:position])
         with pytest.raises(SuspensionStoreError, match=FILE_NAME):
             store.load()
         with pytest.raises(SuspensionStoreError, match=FILE_NAME):
             store.suspend("s-3", 7)
-        assert (tmp_path / FILE_NAME).read_bytes() == complete[:place]
-        changed = complete[:place] + bytes([complete[place] ^ 1]) + complete[place + 1 :]
+        assert (tmp_path / FILE_NAME).read_bytes() == complete[:position]
+        changed = complete[:position] + bytes([complete[position] ^ 1]) + complete[position + 1 :]
         with pytest.raises(ValueError, match=r"cut off$|wrong checksum$"):
             decode(changed)
     (tmp_path / FILE_NAME).write_bytes(complete)
@@ -89,13 +90,13 @@
 
 
 def test_two_processes_change_one_file(tmp_path: Path) -> None:
-    one = SuspensionStore(tmp_path)
-    two = SuspensionStore(tmp_path)
-    assert one.suspend("a", 1) == {"a": 1}
-    assert two.suspend("b", 2) == {"a": 1, "b": 2}
-    assert one.suspend("a", 9) == {"a": 1, "b": 2}  # suspended since the first call
-    assert two.resume("a") == {"b": 2}
-    assert one.load() == {"b": 2}
+    first = SuspensionStore(tmp_path)
+    second = SuspensionStore(tmp_path)
+    assert first.suspend("a", 1) == {"a": 1}
+    assert second.suspend("b", 2) == {"a": 1, "b": 2}
+    assert first.suspend("a", 9) == {"a": 1, "b": 2}  # the time of the first call stays
+    assert second.resume("a") == {"b": 2}
+    assert first.load() == {"b": 2}
 
 
 class RecordingQueue:
@@ -107,7 +108,7 @@
 
 
 class SuspendingProcess:
-    """One process's suspension service and discovery client, with a queue in the controller's place."""
+    """One process's suspension service and discovery client; a recording queue replaces the controller."""
 
     def __init__(self, folder: Path) -> None:
         self.queue = RecordingQueue()
@@ -131,23 +132,23 @@
         self.discovery.load_snapshot(page(entry()))
 
     def last_state(self) -> Lifecycle:
-        """The server's state as the controller was last notified of it."""
+        """Return the server's state as it was last reported to the controller."""
         updates = [message for message in self.queue.messages if isinstance(message, EndpointsUpdated)]
         return updates[-1].update.endpoints[-1].lifecycle
 
 
-def in_a_loop(test: Callable[[Path, pytest.MonkeyPatch], None]) -> Callable[[Path, pytest.MonkeyPatch], None]:
+def with_event_loop(test: Callable[[Path, pytest.MonkeyPatch], None]) -> Callable[[Path, pytest.MonkeyPatch], None]:
     def run(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-        async def play() -> None:
+        async def run_test() -> None:
             test(tmp_path, monkeypatch)
 
-        asyncio.run(play())
+        asyncio.run(run_test())
 
     return run
 
 
-@in_a_loop
-def test_a_suspension_holds_in_both_processes_and_the_next_until_it_is_resumed_once(
+@with_event_loop
+def test_a_suspension_applies_to_all_processes_until_one_of_them_resumes_the_server(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     old = SuspendingProcess(tmp_path)
@@ -155,12 +156,12 @@
     assert old.last_state() is Lifecycle.ACTIVE
     assert not old.service.has_server("s-9")
     old.service.suspend("s-1")
-    old.service.suspend("s-1")  # neither raises
+    old.service.suspend("s-1")  # a repeated call is no error
     assert old.last_state() is Lifecycle.DRAINING
     assert EvacuateServer("s-1", True, EVACUATION_DURATION_US) in old.queue.messages
     new.service.poll()
     assert new.last_state() is Lifecycle.DRAINING
-    old.discovery.load_snapshot(page(entry(startedAtMs=9)))  # restarted, and listed in full once more
+    old.discovery.load_snapshot(page(entry(startedAtMs=9)))  # the server has restarted and is listed again
     assert old.last_state() is Lifecycle.DRAINING
     assert SuspendingProcess(tmp_path).last_state() is Lifecycle.DRAINING
     new.service.resume("s-1")
@@ -170,27 +171,27 @@
     assert SuspendingProcess(tmp_path).last_state() is Lifecycle.ACTIVE
 
 
-@in_a_loop
-def test_a_change_that_cannot_be_persisted_is_an_error_and_leaves_the_server_suspended(
+@with_event_loop
+def test_a_change_that_cannot_be_saved_is_an_error_and_leaves_the_server_suspended(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     process = SuspendingProcess(tmp_path)
 
-    def fail_as_if_full(self: Path, data: bytes) -> int:
+    def fail_with_disk_full(self: Path, data: bytes) -> int:
         raise OSError(errno.ENOSPC, "No space left on device")
 
     with monkeypatch.context() as patch:
-        patch.setattr(Path, "write_bytes", fail_as_if_full)
+        patch.setattr(Path, "write_bytes", fail_with_disk_full)
         with pytest.raises(SuspensionNotPersistedError, match="No space"):
             process.service.suspend("s-1")
         assert process.last_state() is Lifecycle.DRAINING
     process.service.suspend("s-1")
     with monkeypatch.context() as patch:
-        patch.setattr(Path, "write_bytes", fail_as_if_full)
+        patch.setattr(Path, "write_bytes", fail_with_disk_full)
         with pytest.raises(StillSuspendedError, match="No space"):
             process.service.resume("s-1")
         assert process.last_state() is Lifecycle.DRAINING
-    (tmp_path / FILE_NAME).write_bytes(b"not ours")
+    (tmp_path / FILE_NAME).write_bytes(b"another file")
     process.service.poll()
     assert process.last_state() is Lifecycle.DRAINING
     with pytest.raises(StillSuspendedError, match="none of ours"):
@@ -198,7 +199,7 @@
     assert sorted(path.name for path in tmp_path.iterdir()) == [FILE_NAME, f"{FILE_NAME}.lock"]
 
 
-@in_a_loop
+@with_event_loop
 def test_a_server_that_a_maintenance_has_suspended_is_not_resumed_by_an_operator(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -213,7 +214,7 @@
 
 
 def test_clients_of_a_suspended_server_are_migrated_and_those_of_a_resumed_one_are_not() -> None:
-    async def play(harness: ControllerHarness) -> None:
+    async def run(harness: ControllerHarness) -> None:
         await harness.list_servers("a", "b")
         requests = [harness.new_request() for _ in range(3)]
         restored = SessionRestored(requests[0][0], "a"), SessionRestored(requests[1][0], "b")
@@ -224,4 +225,4 @@
         await harness.deliver(SessionRestored(requests[2][0], "a"))
         assert [handler.calls for _, handler in requests] == [["migrate"], [], ["migrate"]]
 
-    run_with_harness(play)
+    run_with_harness(run)
