--- a/stoatgw/hot_restart/handover.py
+++ b/stoatgw/hot_restart/handover.py
@@ -17,7 +17,7 @@
 
     Args:
         started_us: When it started.
-        first_update_us: When discovery first sent it the endpoint list; None before that.
+        first_update_us: When discovery itself first sent it the endpoint list, not counting a cached one; None before.
         has_endpoints: Whether it has an endpoint list, which may be a cached one.
         now_us: The current time.
     """
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -30,7 +30,7 @@
             folder: Folder in which the processes of this proxy find one another; with None there are no siblings.
             context: What the proxy's sessions share.
             listener: The clients' listener, which is switched on and off here.
-            publisher: Knows when discovery first sent the endpoint list.
+            publisher: Knows when discovery itself first sent the endpoint list.
         """
         self._context = context
         self._listener = listener
--- a/stoatgw/service/maintenance.py
+++ b/stoatgw/service/maintenance.py
@@ -30,7 +30,7 @@
         return make_maintenance_controller(self._membership, self._plan, core.context, core.discovery, core.overrides)
 
     def restore(self) -> None:
-        """Restore the suspensions of a maintenance that an earlier process of this proxy recorded.
+        """Restore the suspensions of a maintenance, as an earlier process of this proxy stored them.
 
         Raises:
             ConfigError: The coordination service cannot be reached as configured.
--- a/stoatgw/service/shutdown.py
+++ b/stoatgw/service/shutdown.py
@@ -10,8 +10,8 @@
 from stoatgw.service.core import ProxyCore
 
 POLL_INTERVAL_S = 0.02
-# How long before the plan's longest duration clients still waiting are answered: longer than a rejected connection
-# lingers.
+# How long before the plan's longest duration the clients that still wait are answered. It is longer than a rejected
+# connection lingers.
 FINAL_ANSWER_LEAD_US = 300_000
 # How long before the plan's shortest duration the backlog is accepted and the listener closed.
 BACKLOG_LEAD_US = 50_000
--- a/tests/test_shape.py
+++ b/tests/test_shape.py
@@ -166,7 +166,7 @@
 
 def test_the_service_does_not_import_the_lab() -> None:
     actual_imports = package_imports()
-    above = {"cli", "lab", "emulator", "__main__"}  # packages that may import the service, but not the reverse
+    above = {"cli", "lab", "emulator", "__main__"}  # only these may import one another; nothing below imports them
     for name, imported in actual_imports.items():
         assert name in above or not imported & above, f"{name} imports {imported & above}"
 
