--- a/stoatgw/service/part.py
+++ b/stoatgw/service/component.py
@@ -1,4 +1,4 @@
-"""The interface by which optional parts attach to a proxy."""
+"""The interface of a proxy's optional components."""
 
 from __future__ import annotations
 
@@ -8,29 +8,30 @@
 BackgroundTask = Callable[[], Coroutine[Any, Any, None]]
 
 
-class ServicePart:
-    """An optional part of a proxy. Each method does nothing unless the part needs it.
+class ServiceComponent:
+    """An optional component of a proxy. Each method does nothing unless the component overrides it.
 
     The service calls them in the order in which they stand here, all from its own task. A fault of a background task
-    that ends it shuts the proxy down: what may fail now and then is left to `run_periodically`, or logged by the part.
+    that ends it shuts the proxy down: an action that may fail now and then runs under `run_periodically`, or the
+    component logs the failure itself.
     """
 
     def restore(self) -> None:
-        """Bring back what outlived an earlier process; called before the first endpoint list is loaded.
+        """Restore what outlived an earlier process; called before the first endpoint list is loaded.
 
         Raises:
-            ConfigError: The part cannot run as configured.
+            ConfigError: The component cannot run as configured.
         """
 
     def attach(self) -> None:
-        """Connect the part to the proxy; called once the clients' listener is bound, before any task runs.
+        """Connect the component to the proxy; called once the clients' listener is bound, before any task runs.
 
         Raises:
-            ConfigError: The part cannot run as configured.
+            ConfigError: The component cannot run as configured.
         """
 
     def background_tasks(self) -> Sequence[BackgroundTask]:
-        """What runs as a task each, from the start of the proxy to the end of its process."""
+        """Return the functions that each run as a task, from the start of the proxy to the end of its process."""
         return ()
 
     def is_superseded(self) -> bool:
--- a/stoatgw/service/proxy.py
+++ b/stoatgw/service/proxy.py
@@ -1,4 +1,4 @@
-"""The proxy from its start to its end, in the order in which that happens."""
+"""The proxy's life cycle from start-up to shutdown."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from stoatgw.config.deployment import Address, Deployment
 from stoatgw.config.errors import ConfigError
 from stoatgw.hot_restart import LISTEN_DESCRIPTOR_VARIABLE
+from stoatgw.service.component import BackgroundTask, ServiceComponent
 from stoatgw.service.core import ProxyCore, build_core
-from stoatgw.service.optional_parts import create_migration_planner, create_parts
-from stoatgw.service.part import BackgroundTask, ServicePart
+from stoatgw.service.optional_components import create_components, create_migration_planner
 from stoatgw.service.reload import ConfigReloader
 from stoatgw.service.shutdown import shut_down
 from stoatgw.service.signals import install_signal_handlers
@@ -29,7 +29,7 @@
 
     Args:
         deployment: The platform's configuration.
-        path: The file it was loaded from, read anew on SIGHUP.
+        path: The file it was loaded from, which is read again on SIGHUP.
         operators: The operators' configuration, if there is one.
 
     Raises:
@@ -37,24 +37,24 @@
     """
     core = build_core(deployment)
     context = core.context
-    parts = create_parts(core, operators)
+    components = create_components(core, operators)
     reloader = ConfigReloader(path, deployment, core.discovery, context.log, context.counters)
     stop_requested = install_signal_handlers(reloader.reload, partial(core.log_totals, "counters_reported"))
-    for part in parts:
-        part.restore()
+    for component in components:
+        component.restore()
     core.discovery.load_snapshot(deployment.initial_endpoints)
     context.controller.start(core.gateway, create_migration_planner(deployment, operators))
     _open_listener(core.listener, deployment.listen_address)
-    for part in parts:
-        part.attach()
-    tasks = _start_tasks(core, parts)
+    for component in components:
+        component.attach()
+    tasks = _start_tasks(core, components)
     context.log.event("ready", listen=str(deployment.listen_address))
     await _wait_until_stopped(tasks, stop_requested, context.log)
-    await shut_down(core, parts)
+    await shut_down(core, components)
 
 
-def _start_tasks(core: ProxyCore, parts: Sequence[ServicePart]) -> list[asyncio.Task[None]]:
-    """Start all background tasks; none of them ends by itself."""
+def _start_tasks(core: ProxyCore, components: Sequence[ServiceComponent]) -> list[asyncio.Task[None]]:
+    """Start all background tasks; none of them ends on its own except by an exception."""
     loop = asyncio.get_running_loop()
     background: list[BackgroundTask] = [
         core.context.controller.run,
@@ -62,15 +62,15 @@
         core.listener.run,
         core.session_monitor.run,
     ]
-    for part in parts:
-        background += part.background_tasks()
+    for component in components:
+        background += component.background_tasks()
     return [loop.create_task(run()) for run in background]
 
 
 async def _wait_until_stopped(
     tasks: Sequence[asyncio.Task[None]], stop_requested: asyncio.Event, log: EventLog
 ) -> None:
-    """Wait for a signal, or for a task to end by a fault, which is logged; the other tasks go on in both cases."""
+    """Wait for a signal, or for a task to fail, which is logged; the other tasks keep running in both cases."""
     stop = asyncio.get_running_loop().create_task(stop_requested.wait())
     await asyncio.wait([stop, *tasks], return_when=asyncio.FIRST_COMPLETED)
     for task in tasks:
@@ -79,10 +79,10 @@
 
 
 def _open_listener(listener: Listener, address: Address) -> None:
-    """Listen at the address, or adopt the socket that the platform listens with.
+    """Listen on the address, or adopt the listening socket that the platform passes to this process.
 
     Raises:
-        ConfigError: Nothing can listen there, or the platform's socket is of no use.
+        ConfigError: The address cannot be bound, or the platform's socket cannot be used.
     """
     descriptor = os.environ.get(LISTEN_DESCRIPTOR_VARIABLE)
     if descriptor is not None:
@@ -93,4 +93,4 @@
     try:
         listener.bind(address)
     except OSError as error:
-        raise ConfigError(f"cannot listen there: {error.strerror}", field="listen") from error
+        raise ConfigError(f"cannot listen on this address: {error.strerror}", field="listen") from error
