--- a/stoatgw/decisions/placement.py
+++ b/stoatgw/decisions/placement.py
@@ -55,7 +55,7 @@
     if attempts_left(context, connection) > 1 and profile.idempotency is not Idempotency.FRAGILE:
         timeout_us = min(timeout_us, max(profile.on_time_us, timeout_us // 2))
     connection.tried_servers.append(server.endpoint.name)
-    context.take_slow_start_capacity(server, connection)
+    context.consume_slow_start_capacity(server, connection)
     context.connections.assign(connection, server, context.now_us)
     context.actions.append(Send(request.request_id, server.endpoint.name, context.now_us + timeout_us))
 
--- a/stoatgw/decisions/server_selection.py
+++ b/stoatgw/decisions/server_selection.py
@@ -36,7 +36,7 @@
     # Those warming up are few for each balancer, and a random draw would hardly ever meet them.
     for group in (fleet.warming_up, fleet.local, fleet.remote):
         is_warming_up = group is fleet.warming_up
-        if is_warming_up and context.slow_start_places is not None:
+        if is_warming_up and context.slow_start_slots is not None:
             drawn = draw_with_slow_start_capacity(context, connection)
         elif needs_recent_report and not is_warming_up:
             drawn = draw_recently_reported(context, is_local=group is fleet.local)
--- a/stoatgw/decisions/state/context.py
+++ b/stoatgw/decisions/state/context.py
@@ -27,7 +27,7 @@
 from stoatgw.decisions.state.server_health import ServerHealth
 from stoatgw.decisions.state.server_state import ServerState
 from stoatgw.decisions.state.slow_start import SlowStartLimiter
-from stoatgw.decisions.state.slow_start_places import SlowStartPlaces
+from stoatgw.decisions.state.slow_start_slots import SlowStartSlots
 
 LOG_INTERVAL_US = 10_000_000  # each kind of log line at most so often
 
@@ -43,7 +43,7 @@
     connections: ConnectionTable
     estimator: LoadEstimator
     slow_start: SlowStartLimiter  # of a small fleet
-    slow_start_places: SlowStartPlaces | None  # of a large one
+    slow_start_slots: SlowStartSlots | None  # of a large one
     subscription: EndpointSubscription
     max_priority_weight: float  # of the request classes
     latency_objective_ms: float  # the strictest one of the request classes
@@ -78,7 +78,7 @@
                 settings, fleet, counts, is_large_fleet=is_large_fleet, checks_on_request=checks_on_request
             ),
             slow_start=SlowStartLimiter(settings),
-            slow_start_places=SlowStartPlaces(settings) if is_large_fleet else None,
+            slow_start_slots=SlowStartSlots(settings) if is_large_fleet else None,
             subscription=EndpointSubscription(settings),
             max_priority_weight=max(profile.worth for profile in settings.profiles) or 1.0,
             latency_objective_ms=min(profile.message_aim_us for profile in settings.profiles) / 1000,
@@ -102,8 +102,8 @@
 
     def open_request(self, request: Request) -> ConnectionState:
         """Count a client's request and return its state."""
-        if self.slow_start_places is not None:
-            self.slow_start_places.record_request(request, self.now_us)
+        if self.slow_start_slots is not None:
+            self.slow_start_slots.record_request(request, self.now_us)
         if not request.is_client_retry:
             self.counts.period_arrivals += 1
         return self.connections.open(request, self.now_us)
@@ -125,22 +125,22 @@
     def has_slow_start_capacity(self, server: ServerState, connection: ConnectionState) -> bool:
         """Whether our part of a server's slow-start budget allows the connection."""
         units = self.estimator.load_units(server, connection, self.now_us)
-        if self.slow_start_places is None:
+        if self.slow_start_slots is None:
             return self.slow_start.has_capacity(server, units, self.fleet.load_per_connection, self.now_us)
         load = self.estimator.slow_start_load_per_connection(server, self.now_us)
-        return self.slow_start_places.has_capacity(server, units, load, self.now_us)
+        return self.slow_start_slots.has_capacity(server, units, load, self.now_us)
 
-    def take_slow_start_capacity(self, server: ServerState, connection: ConnectionState) -> None:
+    def consume_slow_start_capacity(self, server: ServerState, connection: ConnectionState) -> None:
         """Take a connection from our part of a server's slow-start budget."""
         units = self.estimator.load_units(server, connection, self.now_us)
-        if self.slow_start_places is None:
-            self.slow_start.take(server, units)
+        if self.slow_start_slots is None:
+            self.slow_start.consume(server, units)
             return
         load = self.estimator.slow_start_load_per_connection(server, self.now_us)
-        self.slow_start_places.take(server, units, load, self.now_us)
+        self.slow_start_slots.consume(server, units, load, self.now_us)
 
     def _may_fill(self, server: ServerState) -> bool:
-        if self.slow_start_places is not None:
+        if self.slow_start_slots is not None:
             return True
         return self.slow_start.may_fill(server, self.fleet.load_per_connection, self.now_us)
 
--- a/stoatgw/decisions/state/server_state.py
+++ b/stoatgw/decisions/state/server_state.py
@@ -22,8 +22,8 @@
     endpoint: Endpoint
     slow_start_refilled_us: int  # when `slow_start_credit` was last brought up to date
     slow_start_credit: float = 0.0  # connections that may be sent during slow start, in a small fleet
-    slow_start_place: int = -1  # the last place in its slow start that this balancer has used
-    slow_start_units_left: float = 0.0  # load units that this place still allows
+    slow_start_slot: int = -1  # the last slot in its slow start that this balancer has used
+    slow_start_units_left: float = 0.0  # load units that this slot still allows
     name_offset: int = field(init=False)  # shifts the ranks of the balancers that fill it
     load_samples: list[tuple[int, float]] = field(default_factory=list)  # (time, load per connection)
     mean_load_per_connection: float = 0.0  # of the samples
@@ -73,7 +73,7 @@
         """Begin a slow start, seconds before the endpoint list shows the restart."""
         self.restart_observed_us = now_us
         self.slow_start_refilled_us = now_us
-        self.slow_start_place = -1
+        self.slow_start_slot = -1
         self.slow_start_units_left = 0.0
 
     def record_health_check(self, *, has_responded: bool) -> None:
--- a/stoatgw/decisions/state/slow_start.py
+++ b/stoatgw/decisions/state/slow_start.py
@@ -2,7 +2,7 @@
 
 The settings say what a server in slow start bears from all balancers together. Each balancer takes its own part of that
 as a token bucket, in connections of mean load. Too much of it overloads the server for good. Large fleets follow
-`slow_start_places`.
+`slow_start_slots`.
 """
 
 from __future__ import annotations
@@ -67,7 +67,7 @@
         is_affordable = server.slow_start_credit >= min(max_credit, max(1.0, units))
         return is_affordable and units <= max(max_credit, budget.per_window)
 
-    def take(self, server: ServerState, units: float) -> None:
+    def consume(self, server: ServerState, units: float) -> None:
         """Take a connection of so many load units from a server's bucket."""
         # One at least: setting up a light connection is work for a server in slow start as well.
         server.slow_start_credit -= max(1.0, units)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -221,7 +221,7 @@
         assert sent <= most + 2.5 * most**0.5  # all proxies see a request by chance
 
 
-def test_a_burst_at_all_of_forty_uses_one_place_each_at_most() -> None:
+def test_a_burst_at_all_of_forty_uses_one_slot_each_at_most() -> None:
     # Every proxy has had no request for long, then all have many within one second.
     sent = 0
     for rank in range(40):
