--- a/tests/controller_harness.py
+++ b/tests/controller_harness.py
@@ -12,7 +12,7 @@
 from stoatgw.decisions.interface import Endpoint, EndpointUpdate, EndpointUpdateKind, Request, Settings
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
-from tests.fleet import settings
+from tests.balancer_harness import settings
 
 REQUEST_TIMEOUT_US = 2_000_000
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -20,7 +20,7 @@
     SessionRestored,
     TimerExpired,
 )
-from tests.fleet import SECOND, T0, BalancerHarness, draining, settings
+from tests.balancer_harness import SECOND, T0, BalancerHarness, draining, settings
 
 
 def test_lowest_expected_load_in_the_local_zone_wins() -> None:
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -30,8 +30,8 @@
 from stoatgw.controller.policy import MigratingPolicy
 from stoatgw.decisions.balancer import Balancer
 from stoatgw.decisions.interface import Action, AttemptStatus, Event, RequestClass
+from tests.balancer_harness import settings
 from tests.controller_harness import ControllerHarness, RecordingHandler, run_with_harness
-from tests.fleet import settings
 
 CONNECT_FAILED = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING)
 SHED = AttemptEnd(AttemptStatus.SHED, AttemptStage.SENT)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -29,9 +29,9 @@
 )
 from stoatgw.decisions.interface import AttemptStatus, Idempotency, KeyScope, RequestClass, Settings
 from stoatgw.sockets import tcp, watches
+from tests.balancer_harness import settings
 from tests.controller_harness import ControllerHarness, run_with_harness
 from tests.failing_calls import fail_calls
-from tests.fleet import settings
 from tests.test_sessions import OPEN, LoopbackProxy, Streams, run_loopback, serve_echo
 
 LINE = b"OPEN 0000000000000001 1 c=chat,d=2000\r\n"
--- a/tests/test_loss.py
+++ b/tests/test_loss.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from stoatgw.decisions.interface import AttemptStatus, CheckHealth, HealthCheckResult, Reject
-from tests.fleet import BalancerHarness, settings
+from tests.balancer_harness import BalancerHarness, settings
 
 LOST_ZONE = ("a0", "a1", "a2", "a3")
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -12,7 +12,7 @@
 from stoatgw.controller.messages import BeginDrain
 from stoatgw.decisions.interface import AttemptStatus, Endpoint, EndpointUpdate, EndpointUpdateKind, Lifecycle, Request
 from stoatgw.telemetry.metrics import RequestMetrics, RequestOutcome
-from tests.fleet import BalancerHarness
+from tests.balancer_harness import BalancerHarness
 from tests.test_sessions import LoopbackProxy, run_loopback
 
 CLASSES = ["chat", "view"]
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -29,8 +29,8 @@
     SessionMetric,
     SessionMetricKind,
 )
-from tests import fleet
-from tests.fleet import SECOND, T0, BalancerHarness
+from tests import balancer_harness
+from tests.balancer_harness import SECOND, T0, BalancerHarness
 
 PROFILES = tuple(
     RequestClass(200_000, SECOND, worth, idempotency, scope, 700_000, 80_000)
@@ -69,7 +69,7 @@
     def __init__(self, draw: st.DataObject) -> None:
         self.draw = draw
         self.harness = BalancerHarness(
-            fleet.settings(
+            balancer_harness.settings(
                 profiles=PROFILES,
                 balancers=draw.draw(st.integers(1, 4)),
                 max_attempts=draw.draw(st.integers(1, 4)),
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -15,8 +15,8 @@
 from stoatgw.decisions.state.server_state import ServerState
 from stoatgw.rebalance import FleetSnapshot, RebalanceLimits, RebalancePlanner, ServerSnapshot, SessionSnapshot
 from stoatgw.rebalance.rebalancer import Rebalancer
-from tests.fleet import BalancerHarness
-from tests.fleet import settings as make_settings
+from tests.balancer_harness import BalancerHarness
+from tests.balancer_harness import settings as make_settings
 
 LIMITS = RebalanceLimits(
     enabled=True, excess_fraction=0.9, migration_rate=0.5, max_migrations_per_server=3, max_migrations_in_flight=8
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
     Subscribe,
 )
 from stoatgw.decisions.state.slow_start import SETUP_US
-from tests.fleet import SECOND, T0, BalancerHarness, draining, settings
+from tests.balancer_harness import SECOND, T0, BalancerHarness, draining, settings
 
 REQUEST_ID = "a" * 16
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -26,7 +26,7 @@
 from stoatgw.decisions.state.load_estimator import LoadEstimator
 from stoatgw.decisions.state.server_state import ServerState
 from stoatgw.decisions.state.slow_start import SETUP_US
-from tests.fleet import SECOND, T0, BalancerHarness, settings
+from tests.balancer_harness import SECOND, T0, BalancerHarness, settings
 
 
 def large(rank: int = 0, balancers: int = 200, servers: int = 90, **changes: object) -> BalancerHarness:
