--- a/stoatgw/decisions/admission.py
+++ b/stoatgw/decisions/admission.py
@@ -5,8 +5,8 @@
 from stoatgw.decisions.state import ConnectionState, DecisionContext
 
 MARGIN = 0.8  # highest load that a server is filled to (the paper's tau)
-LOW_PRIORITY_CUT = 0.4  # part of the margin that no priority weight forgoes while the highest is rejected
-MAX_PERMANENT_LACK = 0.5  # the lack of priority weight that counts when nobody is rejected
+MAX_MARGIN_CUT = 0.4  # part of the margin that no priority weight forgoes while the highest is rejected
+MAX_STANDING_DEFICIT = 0.5  # the lack of priority weight that counts when nobody is rejected
 REJECTED_PRIORITY_DECAY = 0.9  # part of the highest rejected priority weight that is kept each period
 
 
@@ -18,9 +18,9 @@
 def admission_margin(context: DecisionContext, connection: ConnectionState) -> float:
     """Return a connection's margin: a low priority weight forgoes part of it, more while others wait."""
     weight = priority_weight(context, connection)
-    permanent_lack = min(MAX_PERMANENT_LACK, 1.0 - weight)
-    lack = max(permanent_lack, context.counts.rejected_priority - weight)
-    return MARGIN * (1.0 - LOW_PRIORITY_CUT * lack)
+    standing_deficit = min(MAX_STANDING_DEFICIT, 1.0 - weight)
+    deficit = max(standing_deficit, context.counts.rejected_priority - weight)
+    return MARGIN * (1.0 - MAX_MARGIN_CUT * deficit)
 
 
 def priority_weight(context: DecisionContext, connection: ConnectionState) -> float:
--- a/stoatgw/decisions/balancer.py
+++ b/stoatgw/decisions/balancer.py
@@ -13,7 +13,7 @@
 from stoatgw.decisions import interface as api
 from stoatgw.decisions.state import PERIOD_US, DecisionContext, LoadReport, ServerState
 
-MAX_SMALL_FLEET = 8  # more balancers than that each see a request in seconds, and share slow start by rank
+MANY_BALANCERS_THRESHOLD = 8  # more balancers than that each see a request in seconds, and share slow start by rank
 PERIOD_TIMER = 0  # the token of the timer that ends a period
 
 
@@ -25,7 +25,7 @@
         self._context = DecisionContext.create(
             settings,
             seed=seed,
-            is_large_fleet=settings.balancers > MAX_SMALL_FLEET,
+            has_many_balancers=settings.balancers > MANY_BALANCERS_THRESHOLD,
             health_check_credit=health_checking.INITIAL_CHECKS,
         )
         self._handlers: dict[type, Callable[[Any], None]] = {
@@ -99,7 +99,7 @@
 
     def _on_endpoint_update(self, event: api.EndpointUpdate) -> None:
         if self._context.apply_endpoint_update(event):
-            self._regroup_servers()
+            self._rebuild_pools()
 
     def _on_health_check_result(self, event: api.HealthCheckResult) -> None:
         context = self._context
@@ -117,7 +117,7 @@
         if report is not None:
             if server.shows_restart(report.connections):
                 server.record_restart(context.now_us)
-                self._regroup_servers()
+                self._rebuild_pools()
             context.estimator.record_report(server, report, context.now_us)
 
     def _on_timer_expired(self, event: api.TimerExpired) -> None:
@@ -129,15 +129,15 @@
     def _begin_period(self) -> None:
         context = self._context
         context.actions.append(api.SetTimer(context.now_us + PERIOD_US, PERIOD_TIMER))
-        if context.subscription.take_due(context.now_us):
+        if context.subscription.begin_if_due(context.now_us):
             context.actions.append(api.Subscribe(True))
         context.begin_period()
         context.counts.rejected_priority *= admission.REJECTED_PRIORITY_DECAY
         health_checking.grant_health_checks(context)
-        self._regroup_servers()
+        self._rebuild_pools()
 
-    def _regroup_servers(self) -> None:
-        self._context.regroup_servers(max_report_age_us=server_selection.RECENT_REPORT_US)
+    def _rebuild_pools(self) -> None:
+        self._context.rebuild_pools(max_report_age_us=server_selection.RECENT_REPORT_US)
         health_checking.check_oldest(self._context)
 
     def _place_waiting(self, request_ids: list[str]) -> None:
--- a/stoatgw/decisions/health_checking.py
+++ b/stoatgw/decisions/health_checking.py
@@ -6,7 +6,7 @@
 from stoatgw.decisions.server_selection import RECENT_REPORT_US, draw, draw_recently_reported, may_attempt
 from stoatgw.decisions.state import ConnectionState, DecisionContext, ServerHealth, ServerState
 
-MAX_COST_PART = 0.01  # part of the service that health checks may cost
+MAX_COST_FRACTION = 0.01  # part of the service that health checks may cost
 INITIAL_CHECKS = 8
 MIN_CHECKS_PER_PERIOD = 0.25  # also where no client comes
 LOCAL_ZONE_FACTOR = 3.0  # the own zone is checked so many times as often
@@ -24,7 +24,7 @@
     counts = context.counts
     price = context.settings.probe_price
     max_credit = float(max(INITIAL_CHECKS, len(context.fleet.ready)))
-    granted = counts.mean_arrivals * MAX_COST_PART / price if price > 0 else max_credit
+    granted = counts.mean_arrivals * MAX_COST_FRACTION / price if price > 0 else max_credit
     credit = counts.health_check_credit + max(MIN_CHECKS_PER_PERIOD, granted)
     counts.health_check_credit = min(max_credit, credit)
 
@@ -54,10 +54,10 @@
     if context.counts.health_check_credit < 1.0:
         return False
     drawn: list[ServerState] = []
-    for group, is_local in ((context.fleet.local, True), (context.fleet.remote, False)):
-        some = draw(context, group)
+    for pool, is_local in ((context.fleet.local, True), (context.fleet.remote, False)):
+        candidates = draw(context, pool)
         if len(draw_recently_reported(context, is_local=is_local)) < CHECKS_PER_REQUEST:
-            drawn += some
+            drawn += candidates
     suitable = [server for server in drawn if _is_worth_checking(context, connection, server)]
     if not suitable:
         return False
--- a/stoatgw/decisions/overload.py
+++ b/stoatgw/decisions/overload.py
@@ -16,7 +16,7 @@
 # One in so many connections is migrated when a message is as late as the objective, more when it is later
 # still, up to this part: work of seconds is piled up there.
 MIGRATED_DIVISOR = 10
-MAX_MIGRATED_PART = 0.2
+MAX_MIGRATED_FRACTION = 0.2
 MAX_LATENCY_MS = 1e12  # latencies from there on are not believed
 
 
@@ -67,8 +67,8 @@
         # A latency as long as the strictest objective is a full server.
         server.record_message_latency(MARGIN * latency_ms / objective_ms, context.now_us)
         if latency_ms >= objective_ms:
-            part = min(MAX_MIGRATED_PART, latency_ms / objective_ms / MIGRATED_DIVISOR)
-            migrate_sessions(context, server, part)
+            fraction = min(MAX_MIGRATED_FRACTION, latency_ms / objective_ms / MIGRATED_DIVISOR)
+            migrate_sessions(context, server, fraction)
 
 
 def check_reported_load(context: DecisionContext, server: ServerState) -> None:
@@ -80,17 +80,17 @@
         migrate_sessions(context, server, 1 / MIGRATED_DIVISOR)
 
 
-def migrate_sessions(context: DecisionContext, server: ServerState, part: float) -> None:
+def migrate_sessions(context: DecisionContext, server: ServerState, fraction: float) -> None:
     """Migrate a part of a server's sessions, while another one has capacity or it is overfull."""
 
-    def order(session: ConnectionState) -> tuple[float, float]:
+    def migration_order(session: ConnectionState) -> tuple[float, float]:
         """Lowest priority weight first, the heaviest of these first."""
         return priority_weight(context, session), -session.load_units
 
-    sessions = sorted(context.connections.migratable(server), key=order)
+    sessions = sorted(context.connections.migratable(server), key=migration_order)
     load = context.estimator.reported_load_now(server, context.now_us)
     # A part of one is left to chance: one each at least is all of them where many balancers act.
-    count = int(len(sessions) * part + context.rng.random())
+    count = int(len(sessions) * fraction + context.rng.random())
     for session in sessions[:count]:
         if load < MARGIN and select_server(context, session, SPILL_LOAD, excluded=server) is None:
             return
--- a/stoatgw/decisions/server_selection.py
+++ b/stoatgw/decisions/server_selection.py
@@ -8,7 +8,7 @@
 from stoatgw.decisions.interface import Idempotency, KeyScope
 from stoatgw.decisions.state import ConnectionState, DecisionContext, ServerHealth, ServerState
 
-MIN_COMPARED = 2  # passing servers that are compared, if there are as many
+MIN_CANDIDATES = 2  # passing servers that are compared, if there are as many
 MAX_EXAMINED = 12  # servers examined in each of the three groups
 SPILL_LOAD = 0.6  # load up to which the own zone, then warm servers, are filled first
 GROUP_AFFINITY = 0.05  # a server that holds the connection's group is preferred by so much load
@@ -32,18 +32,18 @@
     best = None
     best_rank: Rank = (True, True, True, float("inf"))
     # All balancers see the same late reports: if each took the lowest, all would take the same.
-    wanted = max(MIN_COMPARED, len(fleet.ready) // context.settings.balancers)
+    max_candidates = max(MIN_CANDIDATES, len(fleet.ready) // context.settings.balancers)
     # Those warming up are few for each balancer, and a random draw would hardly ever meet them.
-    for group in (fleet.warming_up, fleet.local, fleet.remote):
-        is_warming_up = group is fleet.warming_up
+    for pool in (fleet.warming_up, fleet.local, fleet.remote):
+        is_warming_up = pool is fleet.warming_up
         if is_warming_up and context.slow_start_slots is not None:
             drawn = draw_with_slow_start_capacity(context, connection)
         elif needs_recent_report and not is_warming_up:
-            drawn = draw_recently_reported(context, is_local=group is fleet.local)
+            drawn = draw_recently_reported(context, is_local=pool is fleet.local)
         else:
-            drawn = draw(context, group)
-        is_remote = group is fleet.remote
-        found = 0
+            drawn = draw(context, pool)
+        is_remote = pool is fleet.remote
+        candidates = 0
         for rank, server in _rank_passing(context, connection, drawn, margin, excluded, is_remote=is_remote):
             if rank < best_rank:
                 # Sent too many connections, a server that is warming up falls over for good.
@@ -53,10 +53,10 @@
                 best_rank = rank
             is_last_choice, is_over_spill_load, _, _ = rank
             if not (is_last_choice or is_over_spill_load):
-                found += 1
-            if found == wanted:
+                candidates += 1
+            if candidates == max_candidates:
                 break
-        if found and group is fleet.local:
+        if candidates and pool is fleet.local:
             break
     return best
 
@@ -74,8 +74,8 @@
     estimator = context.estimator
     now_us = context.now_us
     is_load_known = context.fleet.load_per_connection is not None
-    rows = [(estimator.load_units(server, connection, now_us), server) for server in drawn]
-    for units, server in sorted(rows, key=lambda row: row[0]):
+    units_and_servers = [(estimator.load_units(server, connection, now_us), server) for server in drawn]
+    for units, server in sorted(units_and_servers, key=lambda pair: pair[0]):
         health = context.fleet.health(server, now_us)
         if health is ServerHealth.EJECTED or server is excluded:
             continue
@@ -88,7 +88,7 @@
             if not passes_admission(load, margin):
                 continue
             is_over_spill_load = load >= SPILL_LOAD
-            is_last_choice = is_last_choice or not estimator.is_known(server, now_us)
+            is_last_choice = is_last_choice or not estimator.has_connection_count(server, now_us)
         else:
             load = estimator.connections(server, now_us)
         if units <= connection.load_units:
--- a/stoatgw/decisions/state/connection_table.py
+++ b/stoatgw/decisions/state/connection_table.py
@@ -49,9 +49,9 @@
         """Count a connection on a server since a time; 0 if it was there before this balancer started."""
         connection.server = server
         connection.sent_us = sent_us
-        on_server = self._by_server.setdefault(server, {})
-        on_server[connection.request.request_id] = connection
-        server.own_connections = len(on_server)
+        server_connections = self._by_server.setdefault(server, {})
+        server_connections[connection.request.request_id] = connection
+        server.own_connections = len(server_connections)
         server.group_connections[connection.request.group] += 1
         if not connection.is_established:
             self._counts.setups_in_flight += 1
@@ -68,10 +68,10 @@
         server.group_connections[group] -= 1
         if not server.group_connections[group]:
             del server.group_connections[group]
-        on_server = self._by_server[server]
-        del on_server[connection.request.request_id]
-        server.own_connections = len(on_server)
-        if not on_server:
+        server_connections = self._by_server[server]
+        del server_connections[connection.request.request_id]
+        server.own_connections = len(server_connections)
+        if not server_connections:
             del self._by_server[server]
         since_us = now_us
         if not connection.is_established:
@@ -90,5 +90,5 @@
 
     def migratable(self, server: ServerState) -> list[ConnectionState]:
         """Return the server's established connections that are not migrating, oldest first."""
-        on_server = self._by_server.get(server, {}).values()
-        return [each for each in on_server if each.is_established and not each.is_migrating]
+        server_connections = self._by_server.get(server, {}).values()
+        return [each for each in server_connections if each.is_established and not each.is_migrating]
--- a/stoatgw/decisions/state/context.py
+++ b/stoatgw/decisions/state/context.py
@@ -55,19 +55,19 @@
 
     @classmethod
     def create(
-        cls, settings: Settings, *, seed: int, is_large_fleet: bool, health_check_credit: float
+        cls, settings: Settings, *, seed: int, has_many_balancers: bool, health_check_credit: float
     ) -> DecisionContext:
         """Return the context of a balancer that has observed nothing yet.
 
         Args:
             settings: The balancer's settings.
             seed: Of all random draws.
-            is_large_fleet: Whether there are so many balancers that each sees a request in seconds.
+            has_many_balancers: Whether there are so many balancers that each sees a request in seconds.
             health_check_credit: How many health checks may be sent at the start.
         """
         counts = BalancerState(health_check_credit=health_check_credit)
         fleet = FleetState()
-        checks_on_request = is_large_fleet and settings.can_probe
+        checks_on_request = has_many_balancers and settings.can_probe
         return cls(
             settings=settings,
             rng=random.Random(seed),
@@ -75,10 +75,10 @@
             fleet=fleet,
             connections=ConnectionTable(counts),
             estimator=LoadEstimator(
-                settings, fleet, counts, is_large_fleet=is_large_fleet, checks_on_request=checks_on_request
+                settings, fleet, counts, has_many_balancers=has_many_balancers, checks_on_request=checks_on_request
             ),
             slow_start=SlowStartLimiter(settings),
-            slow_start_slots=SlowStartSlots(settings) if is_large_fleet else None,
+            slow_start_slots=SlowStartSlots(settings) if has_many_balancers else None,
             subscription=EndpointSubscription(settings),
             max_priority_weight=max(profile.worth for profile in settings.profiles) or 1.0,
             latency_objective_ms=min(profile.message_aim_us for profile in settings.profiles) / 1000,
@@ -97,8 +97,8 @@
         self.estimator.begin_period(self.now_us)
         # While a peer is away a larger part of the fleet's connections is ours.
         reported = sum(server.reported_connections or 0.0 for server in self.fleet.ready)
-        own_part = len(self.connections) / max(1.0, reported)
-        self.counts.connection_share = min(1.0, max(1 / self.settings.balancers, own_part))
+        own_fraction = len(self.connections) / max(1.0, reported)
+        self.counts.connection_share = min(1.0, max(1 / self.settings.balancers, own_fraction))
 
     def open_request(self, request: Request) -> ConnectionState:
         """Count a client's request and return its state."""
@@ -116,10 +116,10 @@
         connection.is_migrating = True
         return True
 
-    def regroup_servers(self, max_report_age_us: int) -> None:
+    def rebuild_pools(self, max_report_age_us: int) -> None:
         """Bring the groups that a choice draws from up to date."""
-        self.fleet.regroup(
-            self.settings, self.rng, self._may_fill, now_us=self.now_us, max_report_age_us=max_report_age_us
+        self.fleet.rebuild_pools(
+            self.settings, self.rng, self._shares_budget, now_us=self.now_us, max_report_age_us=max_report_age_us
         )
 
     def has_slow_start_capacity(self, server: ServerState, connection: ConnectionState) -> bool:
@@ -139,10 +139,10 @@
         load = self.estimator.slow_start_load_per_connection(server, self.now_us)
         self.slow_start_slots.consume(server, units, load, self.now_us)
 
-    def _may_fill(self, server: ServerState) -> bool:
+    def _shares_budget(self, server: ServerState) -> bool:
         if self.slow_start_slots is not None:
             return True
-        return self.slow_start.may_fill(server, self.fleet.load_per_connection, self.now_us)
+        return self.slow_start.shares_budget(server, self.fleet.load_per_connection, self.now_us)
 
     def apply_endpoint_update(self, update: EndpointUpdate) -> bool:
         """Bring the listed servers up to date; return whether any came, went or changed its lifecycle."""
--- a/stoatgw/decisions/state/endpoint_subscription.py
+++ b/stoatgw/decisions/state/endpoint_subscription.py
@@ -27,7 +27,7 @@
         elif kind is not EndpointUpdateKind.CACHED:
             self._is_active = True
 
-    def take_due(self, now_us: int) -> bool:
+    def begin_if_due(self, now_us: int) -> bool:
         """Whether to subscribe now; the next time is due an interval later."""
         if self._is_active or now_us < self._due_at_us:
             return False
--- a/stoatgw/decisions/state/fleet_state.py
+++ b/stoatgw/decisions/state/fleet_state.py
@@ -88,11 +88,11 @@
             return False
         return server.endpoint.machine_kind in self.kind_connections_by_weight
 
-    def regroup(
+    def rebuild_pools(
         self,
         settings: Settings,
         rng: random.Random,
-        may_fill: Callable[[ServerState], bool],
+        shares_budget: Callable[[ServerState], bool],
         *,
         now_us: int,
         max_report_age_us: int,
@@ -106,11 +106,11 @@
         self.recently_reported = {}
         for server in self.ready:
             if server.warm_up_fraction(now_us, settings) < 1.0:
-                if may_fill(server):
+                if shares_budget(server):
                     self.warming_up.append(server)
                 continue
-            group = self.local if server.endpoint.zone == settings.zone else self.remote
-            group.append(server)
+            pool = self.local if server.endpoint.zone == settings.zone else self.remote
+            pool.append(server)
             if now_us - server.reported_us < max_report_age_us:
                 self.recently_reported[server.endpoint.name] = server
         self.update_panic_mode(now_us)
--- a/stoatgw/decisions/state/load_estimator.py
+++ b/stoatgw/decisions/state/load_estimator.py
@@ -29,14 +29,14 @@
         fleet: FleetState,
         counts: BalancerState,
         *,
-        is_large_fleet: bool,
+        has_many_balancers: bool,
         checks_on_request: bool,
     ) -> None:
         """Create an estimator over the observations in `fleet` and `counts`."""
         self._settings = settings
         self._fleet = fleet
         self._counts = counts
-        self._is_large_fleet = is_large_fleet
+        self._has_many_balancers = has_many_balancers
         self._checks_on_request = checks_on_request
 
     def record_report(self, server: ServerState, report: LoadReport, now_us: int) -> None:
@@ -79,7 +79,7 @@
         """Whether the server's live weight tells its connections better than its last report."""
         return self._fleet.prefers_weight(server, now_us - OVERLOAD_VALID_US)
 
-    def is_known(self, server: ServerState, now_us: int) -> bool:
+    def has_connection_count(self, server: ServerState, now_us: int) -> bool:
         """Whether a report or the live weight tells the server's connections."""
         return server.reported_connections is not None or self.prefers_weight(server, now_us)
 
@@ -128,11 +128,11 @@
         group = connection.request.group
         if not self._settings.groups or group is None or server.group_connections[group] > 0:
             return connection.load_units
-        if self._is_large_fleet or server.warm_up_fraction(now_us, self._settings) < 1.0:
+        if self._has_many_balancers or server.warm_up_fraction(now_us, self._settings) < 1.0:
             return connection.load_units + 1.0
         # Peers hold groups as well: new to us is new to it as far as ours are a fair part of what it holds.
-        fair_part = max(1.0, (server.reported_connections or 0.0) / self._settings.balancers)
-        certainty = min(1.0, 2 * server.own_connections / fair_part)
+        fair_share = max(1.0, (server.reported_connections or 0.0) / self._settings.balancers)
+        certainty = min(1.0, 2 * server.own_connections / fair_share)
         return connection.load_units + 1.0 + (NEW_GROUP_UNITS - 1.0) * certainty
 
     def slow_start_load_per_connection(self, server: ServerState, now_us: int) -> float | None:
--- a/stoatgw/decisions/state/slow_start.py
+++ b/stoatgw/decisions/state/slow_start.py
@@ -12,7 +12,7 @@
 from stoatgw.decisions.settings import Settings
 from stoatgw.decisions.state.server_state import ServerState
 
-USED_BUDGET_PART = 0.5  # of the budget that the settings allow
+USED_BUDGET_FRACTION = 0.5  # of the budget that the settings allow
 NEW_GROUP_UNITS = 1.0  # what a server in slow start pays for a new group
 SETUP_US = 80_000  # work of a set-up, and half as much again: servers fell at 22 to 47 a second, none at 12
 
@@ -34,7 +34,7 @@
         self._settings = settings
         self._max_connection_units = 1.0 + NEW_GROUP_UNITS if settings.groups else 1.0
 
-    def may_fill(self, server: ServerState, load_per_connection: float | None, now_us: int) -> bool:
+    def shares_budget(self, server: ServerState, load_per_connection: float | None, now_us: int) -> bool:
         """Return whether this balancer is one of those that share a server's budget."""
         budget = self.budget(server.warm_up_fraction(now_us, self._settings), load_per_connection)
         rank = (server.name_offset + self._settings.rank) % self._settings.balancers
@@ -46,10 +46,10 @@
         per_us = 1.0 / max(1, settings.fall_us)
         if load_per_connection:
             work_us = SETUP_US + load_per_connection * settings.fall_us
-            per_us = USED_BUDGET_PART * settings.fall_multiple * warm_up_fraction / work_us
+            per_us = USED_BUDGET_FRACTION * settings.fall_multiple * warm_up_fraction / work_us
         # A part too small for one connection is no use: as many share it as get one in a window each.
-        sharing = max(1, int(2 * per_us * settings.fall_us / self._max_connection_units))
-        balancers = min(settings.balancers, sharing)
+        max_sharing = max(1, int(2 * per_us * settings.fall_us / self._max_connection_units))
+        balancers = min(settings.balancers, max_sharing)
         return SlowStartBudget(per_us, per_window=per_us * settings.fall_us, balancers=balancers)
 
     def has_capacity(self, server: ServerState, units: float, load_per_connection: float | None, now_us: int) -> bool:
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from stoatgw.decisions.balancer import MAX_SMALL_FLEET
+from stoatgw.decisions.balancer import MANY_BALANCERS_THRESHOLD
 from stoatgw.decisions.interface import (
     AttemptStatus,
     CheckHealth,
@@ -204,7 +204,7 @@
         sent = sum(units for at_us, units in sends if start_us <= at_us < start_us + SECOND)
         warm_up_fraction = 0.2 + 0.8 * (start_us - T0) / (10 * SECOND)
         # A few charge a set-up and a second of load, many the load of the whole warm-up.
-        unit = SETUP_US / SECOND + 0.02 if balancers <= MAX_SMALL_FLEET else 10 / 50
+        unit = SETUP_US / SECOND + 0.02 if balancers <= MANY_BALANCERS_THRESHOLD else 10 / 50
         assert sent * unit <= 3.0 * warm_up_fraction + 3 * unit  # a little slack for chance
     assert len(sends) >= 15
 
