--- a/stoatgw/decisions/__init__.py
+++ b/stoatgw/decisions/__init__.py
@@ -1,8 +1,9 @@
-"""The decisions of the proxy: events go in, actions come out.
+"""The decisions of the proxy: each event is answered with a list of actions.
 
-It holds the policy (the files that deploy/balancer.toml lists), its interface, and in `state` what the policy reads.
-It promises to be pure: no IO, no clock, no random draws but those of the seed, and the same actions for the same
-events. Carrying out the actions, and giving every request one final answer also on a fault, is left to the controller.
+The package contains the policy (the files listed in deploy/balancer.toml), its interface, and in `state` the data that
+the policy reads. It is pure: it does no I/O, reads no clock and draws random numbers only from the seeded generator, so
+the same events always produce the same actions. The controller carries out the actions, and ensures that every request
+gets exactly one final answer even after a fault.
 """
 
 from stoatgw.decisions.balancer import Balancer
--- a/stoatgw/decisions/actions.py
+++ b/stoatgw/decisions/actions.py
@@ -1,4 +1,4 @@
-"""The actions that a balancer answers events with, for its caller to carry out in order."""
+"""The actions that a balancer returns for an event; its caller carries them out in order."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Start an attempt, which times out at `deadline_us`."""
+    """Start an attempt that times out at `deadline_us`."""
 
     request_id: str
     server: str
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Final answer: rejected, a repeat is harmless; `retry_after_us` is zero without advice."""
+    """Final answer: rejected, and the client may repeat the request; `retry_after_us` is 0 if no delay is advised."""
 
     request_id: str
     retry_after_us: int = 0
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed, nothing is promised about the effect."""
+    """Final answer: failed; the request may or may not have run."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Migrate:
-    """Close an established connection cleanly; its client reconnects."""
+    """Close an established connection cleanly so that its client reconnects."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Open or close the subscription to the endpoint list."""
+    """Open (`is_wanted`) or close the subscription to the endpoint list."""
 
     is_wanted: bool
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Set a timer: a `TimerExpired` is due at a time of the clock."""
+    """Set a timer that causes a `TimerExpired` event with `token` at `at_us`."""
 
     at_us: int
     token: int
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseIdle:
-    """Close idle connections to a server."""
+    """Close the idle connections to a server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """A message to one peer, or to all of them where `peer` is None."""
+    """Send a message to one peer, or to all peers if `peer` is None."""
 
     peer: int | None
     payload: bytes
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operators."""
+    """Write a log line for the operators."""
 
     message: str
 
--- a/stoatgw/decisions/admission.py
+++ b/stoatgw/decisions/admission.py
@@ -1,22 +1,25 @@
-"""The admission test: a server may take a connection while r * (n + 1) is under the connection's margin."""
+"""The admission test: a server may be sent a connection while r * (n + 1) is below the connection's margin.
+
+r is the load of one mean connection and n the number of connections on the server.
+"""
 
 from __future__ import annotations
 
 from stoatgw.decisions.state import ConnectionState, DecisionContext
 
-MARGIN = 0.8  # highest load that a server is filled to (the paper's tau)
-MAX_MARGIN_CUT = 0.4  # part of the margin that no priority weight forgoes while the highest is rejected
-MAX_STANDING_DEFICIT = 0.5  # the lack of priority weight that counts when nobody is rejected
-REJECTED_PRIORITY_DECAY = 0.9  # part of the highest rejected priority weight that is kept each period
+MARGIN = 0.8  # load up to which servers are filled (tau in the paper)
+MAX_MARGIN_CUT = 0.4  # fraction of the margin withheld from priority weight 0 while the highest is rejected
+MAX_STANDING_DEFICIT = 0.5  # maximum priority deficit that applies while no request is rejected
+REJECTED_PRIORITY_DECAY = 0.9  # the highest rejected priority weight is multiplied by this each period
 
 
 def passes_admission(expected_load: float, margin: float) -> bool:
-    """The admission test itself; `expected_load` is r * (n + 1)."""
+    """Return whether `expected_load`, which is r * (n + 1), is below the margin."""
     return expected_load < margin
 
 
 def admission_margin(context: DecisionContext, connection: ConnectionState) -> float:
-    """Return a connection's margin: a low priority weight forgoes part of it, more while others wait."""
+    """Return a connection's margin, reduced at a low priority weight, more while higher ones are rejected."""
     weight = priority_weight(context, connection)
     standing_deficit = min(MAX_STANDING_DEFICIT, 1.0 - weight)
     deficit = max(standing_deficit, context.counts.rejected_priority - weight)
@@ -24,7 +27,7 @@
 
 
 def priority_weight(context: DecisionContext, connection: ConnectionState) -> float:
-    """Return the priority weight as a part of the highest; it falls beyond the tenant's quota."""
+    """Return the priority weight as a fraction of the highest; it is reduced beyond the tenant's quota."""
     settings = context.settings
     request = connection.request
     weight = settings.profiles[request.request_class].worth / context.max_priority_weight
@@ -38,5 +41,5 @@
 
 
 def has_setup_capacity(context: DecisionContext) -> bool:
-    """Whether another set-up may be in flight: failing set-ups narrow their window."""
+    """Return whether another set-up may be in flight; the window for them narrows when set-ups fail."""
     return context.counts.setups_in_flight < context.counts.setup_window
--- a/stoatgw/decisions/balancer.py
+++ b/stoatgw/decisions/balancer.py
@@ -1,7 +1,7 @@
-"""Events to decisions; their types are in `stoatgw/decisions/interface.py`.
+"""The policy: it maps events to actions, whose types are in `stoatgw/decisions/interface.py`.
 
-One `Balancer` is one balancer instance: it takes an event with the time and gives actions.
-docs/design.md has the rule: a ready server passes while r * (n + 1) is under the margin.
+One `Balancer` is one balancer instance: it handles an event at a given time and returns actions.
+docs/design.md explains the rule: a ready server is admitted while r * (n + 1) is below the margin.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from stoatgw.decisions import interface as api
 from stoatgw.decisions.state import PERIOD_US, DecisionContext, LoadReport, ServerState
 
-MANY_BALANCERS_THRESHOLD = 8  # more balancers than that each see a request in seconds, and share slow start by rank
-PERIOD_TIMER = 0  # the token of the timer that ends a period
+# If there are more, each receives a request only every few seconds, and slow start is shared by slots.
+MANY_BALANCERS_THRESHOLD = 8
+PERIOD_TIMER = 0  # token of the timer that ends a period
 
 
 class Balancer:
-    """The decisions of one balancer: handles events in order and gives the actions that answer each."""
+    """The decisions of one balancer, which handles events in order and returns the actions for each."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        """Create a balancer that has observed nothing; `seed` determines its random draws."""
+        """Create a balancer without any observations; `seed` determines its random draws."""
         self._context = DecisionContext.create(
             settings,
             seed=seed,
@@ -41,11 +42,11 @@
         }
 
     def start(self, now_us: int) -> list[api.Action]:
-        """Begin the first period, and subscribe to the endpoint list where that is needed."""
+        """Begin the first period, and subscribe to the endpoint list if the settings require it."""
         return self.handle(api.TimerExpired(PERIOD_TIMER), now_us)
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
-        """Handle one event and return the actions that answer it, in order; others are ignored."""
+        """Handle one event and return the resulting actions in order; events of other types are ignored."""
         context = self._context
         context.now_us = now_us
         context.actions = []
@@ -55,17 +56,17 @@
         return context.actions
 
     def estimates(self, now_us: int) -> list[api.ServerEstimate]:
-        """Return what is estimated of each ready server; asking changes nothing."""
+        """Return the estimates of each ready server; the call does not affect decisions."""
         self._context.now_us = now_us
         return self._context.estimate_servers(max_setups=server_selection.MAX_SETUPS_PER_SERVER)
 
     def avoided_servers(self, now_us: int) -> list[str]:
-        """Return the listed servers that drain or that no choice takes first; asking changes nothing."""
+        """Return the listed servers that are draining or unhealthy; the call does not affect decisions."""
         self._context.now_us = now_us
         return self._context.avoided_servers()
 
     def migrate(self, request_id: str) -> list[api.Action]:
-        """Migrate an established connection, as planned elsewhere; nothing if it is not one any more."""
+        """Migrate a connection, as planned elsewhere; return no action if it is no longer established."""
         return [api.Migrate(request_id)] if self._context.begin_migration(request_id) else []
 
     def _on_request(self, request: api.Request) -> None:
@@ -77,7 +78,7 @@
         if connection is not None and connection.server is not None:
             context.record_established(connection, connection.server)
             if connection.erring_server is not None:
-                # Another one served the request: the error was the server's fault.
+                # Another server accepted the request, so the error was the fault of the first one.
                 overload.eject_for_setup(context, connection.erring_server, api.AttemptStatus.APP_ERROR)
 
     def _on_attempt_outcome(self, event: api.AttemptOutcome) -> None:
@@ -137,7 +138,7 @@
         self._rebuild_pools()
 
     def _rebuild_pools(self) -> None:
-        self._context.rebuild_pools(max_report_age_us=server_selection.RECENT_REPORT_US)
+        self._context.rebuild_server_pools(max_report_age_us=server_selection.RECENT_REPORT_US)
         health_checking.check_oldest(self._context)
 
     def _place_waiting(self, request_ids: list[str]) -> None:
--- a/stoatgw/decisions/events.py
+++ b/stoatgw/decisions/events.py
@@ -1,6 +1,6 @@
 """The events that a balancer handles.
 
-All times are microseconds of the caller's clock.
+All times are in microseconds of the caller's clock.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an endpoint update holds: changes, the complete list, a persisted one, or none."""
+    """What an endpoint update contains: changes, the complete list, a persisted copy of it, or no endpoints."""
 
     DELTA = "diff"
     SNAPSHOT = "snapshot"
@@ -40,12 +40,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this proves that the attempt did not run and will not."""
+        """Whether this status proves that the attempt has not run and will not run."""
         return self in (AttemptStatus.SHED, AttemptStatus.DIAL_FAILED, AttemptStatus.UNUSED)
 
 
 class SessionMetricKind(Enum):
-    """What a session metric measures: its load, or a message's latency."""
+    """What a session metric measures: the load of the session, or the latency of a message."""
 
     LOAD = 1
     DELAY = 2
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server of the endpoint list; `weight` is a live weight where the settings say so."""
+    """One server in the endpoint list; `weight` follows the server's load if `Settings.live_weights` is set."""
 
     name: str
     lifecycle: Lifecycle = Lifecycle.ACTIVE
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """An update of the endpoint list; ERROR carries no endpoints."""
+    """An update of the endpoint list; one of kind ERROR contains no endpoints."""
 
     kind: EndpointUpdateKind
     version: int = 0
@@ -75,10 +75,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client requests a connection; exactly one final answer is owed.
-
-    `hint_us` is the work that its connection may cause; it counts only if `hint_valid`. `is_client_retry` is true for
-    a repeat by the client itself, `is_returning` for a client that a peer's drain has sent away.
+    """A client requests a connection; the request gets exactly one final answer.
+
+    Attributes:
+        request_id: Identifies the request.
+        request_class: Index of its class in `Settings.profiles`.
+        time_left_us: Time left until the final answer is due.
+        tenant: Index of the client's tenant.
+        idempotency_key: Key by which servers recognise repeats of the request, if it has one.
+        group: Group that the connection belongs to, if any.
+        hint_us: Work that the connection may cause, in microseconds; ignored unless `hint_valid`.
+        hint_valid: Whether `hint_us` may be used.
+        is_client_retry: Whether the client repeats a request of its own.
+        is_mid_flow: Whether the request continues a flow of earlier ones; not used by this policy.
+        is_returning: Whether the client reconnects because a peer has drained.
     """
 
     request_id: str
@@ -96,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionRestored:
-    """A connection that was established before this balancer started, by attempt 0."""
+    """A connection was established, by attempt 0, before this balancer started."""
 
     request: Request
     server: str
@@ -104,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEstablished:
-    """The server accepted the connection; no deadline applies from here on."""
+    """The server accepted the connection; from now on no deadline applies."""
 
     request_id: str
     attempt: int
@@ -114,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionMetric:
-    """A metric of an established session: its load (us of work a second) or a message's latency (ms)."""
+    """A metric of an established session: its load (µs of work per second) or the latency of a message (ms)."""
 
     request_id: str
     attempt: int
@@ -125,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt ended; `is_final` means that no answer is owed any more."""
+    """An attempt or an established connection has ended; `is_final` means that the request needs no further answer."""
 
     request_id: str
     attempt: int
@@ -138,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
-    """The client has disconnected: nobody waits for this request any more."""
+    """The client has disconnected and no longer waits for an answer to the request."""
 
     request_id: str
 
@@ -152,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthCheckResult:
-    """The result of one health check; the load report follows `Settings.report_columns`."""
+    """The result of one health check; the values of the load report are in the order of `Settings.report_columns`."""
 
     server: str
     status: AttemptStatus
@@ -162,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """Bytes from another balancer."""
+    """A message from another balancer."""
 
     sender: int
     payload: bytes
--- a/stoatgw/decisions/health_checking.py
+++ b/stoatgw/decisions/health_checking.py
@@ -1,4 +1,4 @@
-"""Which servers are health-checked, and when a request waits for that."""
+"""Selects the servers to check, and decides whether a request waits for health checks before it is placed."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from stoatgw.decisions.server_selection import RECENT_REPORT_US, draw, draw_recently_reported, may_attempt
 from stoatgw.decisions.state import ConnectionState, DecisionContext, ServerHealth, ServerState
 
-MAX_COST_FRACTION = 0.01  # part of the service that health checks may cost
+MAX_COST_FRACTION = 0.01  # fraction of the cost of service that health checks may cost
 INITIAL_CHECKS = 8
-MIN_CHECKS_PER_PERIOD = 0.25  # also where no client comes
-LOCAL_ZONE_FACTOR = 3.0  # the own zone is checked so many times as often
-# Among many balancers each sees a request in seconds, and its reports are old by then: when one comes, it
-# checks so many servers, in so many rounds, and waits for them this long or this part of the time left.
+MIN_CHECKS_PER_PERIOD = 0.25  # even without any clients
+LOCAL_ZONE_FACTOR = 3.0  # servers in the own zone are checked this many times as often
+# Each of many balancers receives a request only every few seconds, and its reports are outdated by then. It
+# checks this many servers per round for each request, in up to this many rounds, and waits for the results
+# for MAX_WAIT_US, or for the time left divided by MAX_WAIT_DIVISOR if that is less.
 CHECKS_PER_ROUND = 2
 MAX_ROUNDS = 2
 CHECKS_PER_REQUEST = CHECKS_PER_ROUND * MAX_ROUNDS
@@ -20,7 +21,7 @@
 
 
 def grant_health_checks(context: DecisionContext) -> None:
-    """Allow as many more checks as a period's clients pay for."""
+    """Add the health checks that the clients of a period pay for to the credit."""
     counts = context.counts
     price = context.settings.probe_price
     max_credit = float(max(INITIAL_CHECKS, len(context.fleet.ready)))
@@ -30,11 +31,11 @@
 
 
 def check_oldest(context: DecisionContext, min_age_us: int = 0) -> None:
-    """Check servers last checked longest ago, the own zone more often, as far as the price allows."""
+    """Check the servers with the oldest last check, the own zone more often, as far as the credit allows."""
     now_us = context.now_us
 
     def weighted_age(server: ServerState) -> float:
-        """Draw for every due server, also where none may be checked: all draws keep their order."""
+        """Weight the age at random, even if no server may be checked: all draws keep their order."""
         factor = LOCAL_ZONE_FACTOR if server.endpoint.zone == context.settings.zone else 1.0
         return factor * (now_us - server.health_checked_us) * context.rng.uniform(1, 3)
 
@@ -48,7 +49,7 @@
 
 
 def check_for_request(context: DecisionContext, connection: ConnectionState) -> bool:
-    """Check a few servers for one request, own zone first; return whether it waits for their answers."""
+    """Check a few servers for one request, own zone first; return whether it waits for the results."""
     if not context.checks_on_request or connection.health_check_rounds >= MAX_ROUNDS:
         return False
     if context.counts.health_check_credit < 1.0:
--- a/stoatgw/decisions/interface.py
+++ b/stoatgw/decisions/interface.py
@@ -1,7 +1,7 @@
-"""The interface of the decisions: settings, events, actions and estimates, importable from one place.
+"""The interface of the decisions: settings, events, actions and estimates, importable from one module.
 
-Nothing here reads or writes a wire. All times are microseconds of the caller's clock, and names that end in
-`_us` say so. Zones, classes, tenants and machine kinds are indices into the settings' lists.
+The types do not depend on any wire format. All times are in microseconds of the caller's clock and have names that end
+in `_us`. Zones, request classes, tenants and machine kinds are indices into the lists of the settings.
 """
 
 from __future__ import annotations
--- a/stoatgw/decisions/placement.py
+++ b/stoatgw/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Placing a request: admit it to a server, retry it at another one, or give the final answer."""
+"""Places requests: admits them to a server, retries them at another one, or gives the final answer."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stoatgw.decisions.state import PERIOD_US, REPORT_DELAY_US, ConnectionState, DecisionContext, ServerState
 
 MAX_ATTEMPTS = 2  # the first attempt and one retry
-ANSWER_RESERVE_US = 1_000  # an answer leaves so long, and two batches, before the deadline
+ANSWER_RESERVE_US = 1_000  # a final answer is sent this long, and two event batches, before the deadline
 
 
 def place(context: DecisionContext, connection: ConnectionState) -> None:
@@ -23,7 +23,7 @@
     server = select_server(context, connection, margin, needs_recent_report=needs_recent_report)
     is_local = server is not None and server.endpoint.zone == context.settings.zone
     if not is_local and check_for_request(context, connection):
-        return  # it is placed again once their answers are there
+        return  # `place` is called again once the results have arrived
     if server is None and needs_recent_report and not _has_recent_report(context):
         server = select_server(context, connection, margin)
     if server is None:
@@ -38,7 +38,7 @@
 
 
 def time_left_us(context: DecisionContext, connection: ConnectionState) -> int:
-    """Return the time that an attempt may take so that a final answer is in time."""
+    """Return how long an attempt may take if a final answer is still to be sent in time."""
     reserve_us = 2 * context.settings.granularity_us + ANSWER_RESERVE_US
     return connection.deadline_us - reserve_us - context.now_us
 
@@ -48,7 +48,7 @@
 
 
 def start_attempt(context: DecisionContext, connection: ConnectionState, server: ServerState) -> None:
-    """Send the request to a server, with a timeout that leaves time for a retry if one may follow."""
+    """Send the request to a server, with a timeout that leaves enough time for a retry if one may follow."""
     request = connection.request
     profile = context.settings.profiles[request.request_class]
     timeout_us = time_left_us(context, connection)
@@ -61,7 +61,7 @@
 
 
 def retry_or_close(context: DecisionContext, connection: ConnectionState, *, is_answered: bool) -> None:
-    """After an attempt or a session has ended: place the request again if an answer is still owed."""
+    """Place a request again after its attempt has ended, or close it if it needs no further answer."""
     if is_answered or connection.is_established or connection.is_abandoned:
         context.connections.close(connection)
     else:
@@ -69,14 +69,14 @@
 
 
 def reject(context: DecisionContext, connection: ConnectionState) -> None:
-    """Give the final answer: a rejection where a repeat is known to be harmless, else a failure."""
+    """Give the final answer: a rejection if a repeat is known to be harmless, otherwise a failure."""
     settings = context.settings
     context.counts.record_rejected_priority(priority_weight(context, connection))
     if is_repeat_harmless(context, connection):
         retry_after_us = min(PERIOD_US, settings.max_retry_after_us) if settings.can_advise_retry_after else 0
         context.actions.append(Reject(connection.request.request_id, retry_after_us))
         context.log("refusing", "no server passes the admission test")
-        # The reports may be older than what the servers hold by now.
+        # The latest reports may be outdated: the servers may have capacity by now.
         check_oldest(context, min_age_us=REPORT_DELAY_US)
     else:
         context.actions.append(Fail(connection.request.request_id))
@@ -84,7 +84,7 @@
 
 
 def is_repeat_harmless(context: DecisionContext, connection: ConnectionState) -> bool:
-    """Whether the client may repeat the request: it has not run, or every server drops its repeat."""
+    """Return whether the request has not run, may be run again, or has its repeat dropped by every server."""
     profile = context.settings.profiles[connection.request.request_class]
     if connection.first_run is None or profile.idempotency is Idempotency.RETRYABLE:
         return True
--- a/stoatgw/decisions/server_estimate.py
+++ b/stoatgw/decisions/server_estimate.py
@@ -1,4 +1,4 @@
-"""What a balancer estimates of one server, for whoever plans migrations."""
+"""A balancer's estimates of one server, from which migrations are planned."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEstimate:
-    """What a balancer estimates of a ready server now."""
+    """A balancer's current estimates of a ready server."""
 
     server: str
     zone: int
-    load: float  # over what it can do now
-    load_per_connection: float  # what one mean connection adds to that
-    connections: float  # connections held, by all balancers
-    report_age_us: int  # of its last report
-    warm_up_fraction: float  # part of its full capacity that it has by now
-    setups_in_flight: int  # of this balancer
-    is_healthy: bool  # neither ejected nor failing nor slow nor overloaded
-    own_sessions: tuple[Request, ...]  # own established connections on it that are not migrating
+    load: float  # relative to its current capacity
+    load_per_connection: float  # load that one mean connection adds, in the same unit
+    connections: float  # connections on the server through all balancers
+    report_age_us: int  # age of its last load report
+    warm_up_fraction: float  # fraction of its full capacity that it has by now
+    setups_in_flight: int  # set-ups of this balancer
+    is_healthy: bool  # not ejected, failing, slow or at its limit of set-ups
+    own_sessions: tuple[Request, ...]  # this balancer's established connections on it that are not migrating
--- a/stoatgw/decisions/server_selection.py
+++ b/stoatgw/decisions/server_selection.py
@@ -1,4 +1,4 @@
-"""The choice of a server: the best of a few that pass the admission test, own zone first."""
+"""Selects a server for a request: the best of a few that pass the admission test, own zone first."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from stoatgw.decisions.interface import Idempotency, KeyScope
 from stoatgw.decisions.state import ConnectionState, DecisionContext, ServerHealth, ServerState
 
-MIN_CANDIDATES = 2  # passing servers that are compared, if there are as many
-MAX_EXAMINED = 12  # servers examined in each of the three groups
-SPILL_LOAD = 0.6  # load up to which the own zone, then warm servers, are filled first
-GROUP_AFFINITY = 0.05  # a server that holds the connection's group is preferred by so much load
-MAX_WARMING_UP_EXAMINED = 96  # servers in slow start, few of which have an open place of this balancer
-MAX_SETUPS_PER_SERVER = 16  # own set-ups in flight at one server
-RECENT_REPORT_US = 1_000_000  # among many balancers only reports as recent as this are believed
+MIN_CANDIDATES = 2  # servers that pass the test and are compared, if that many do
+MAX_EXAMINED = 12  # servers examined in each of the three pools
+SPILL_LOAD = 0.6  # below this load servers in the own zone, then warm ones, are filled first
+GROUP_AFFINITY = 0.05  # subtracted from the load of a server that already holds the connection's group
+MAX_WARMING_UP_EXAMINED = 96  # servers in slow start; few of them have an open slot for this balancer
+MAX_SETUPS_PER_SERVER = 16  # this balancer's set-ups in flight at one server
+RECENT_REPORT_US = 1_000_000  # with many balancers, older reports are not used
 
-Rank = tuple[bool, bool, bool, float]  # last choice, over the spill load, remote before that, load
+Rank = tuple[bool, bool, bool, float]  # last choice, over the spill load, remote below it, load
 
 
 def select_server(
@@ -27,13 +27,13 @@
     excluded: ServerState | None = None,
     needs_recent_report: bool = False,
 ) -> ServerState | None:
-    """Return the lowest ranked of a few servers that pass the admission test, None if none does."""
+    """Return the server with the lowest rank of a few that pass the admission test; None if there is none."""
     fleet = context.fleet
     best = None
     best_rank: Rank = (True, True, True, float("inf"))
-    # All balancers see the same late reports: if each took the lowest, all would take the same.
+    # All balancers see the same delayed reports: if each compared all servers, all would select the same one.
     max_candidates = max(MIN_CANDIDATES, len(fleet.ready) // context.settings.balancers)
-    # Those warming up are few for each balancer, and a random draw would hardly ever meet them.
+    # A balancer may use few of the servers that warm up, so a random draw from all would rarely include one.
     for pool in (fleet.warming_up, fleet.local, fleet.remote):
         is_warming_up = pool is fleet.warming_up
         if is_warming_up and context.slow_start_slots is not None:
@@ -43,20 +43,20 @@
         else:
             drawn = draw(context, pool)
         is_remote = pool is fleet.remote
-        candidates = 0
+        candidate_count = 0
         for rank, server in _rank_passing(context, connection, drawn, margin, excluded, is_remote=is_remote):
             if rank < best_rank:
-                # Sent too many connections, a server that is warming up falls over for good.
+                # A server in slow start that is sent too many connections collapses and does not recover.
                 if is_warming_up and not context.has_slow_start_capacity(server, connection):
                     continue
                 best = server
                 best_rank = rank
             is_last_choice, is_over_spill_load, _, _ = rank
             if not (is_last_choice or is_over_spill_load):
-                candidates += 1
-            if candidates == max_candidates:
+                candidate_count += 1
+            if candidate_count == max_candidates:
                 break
-        if candidates and pool is fleet.local:
+        if candidate_count and pool is fleet.local:
             break
     return best
 
@@ -70,7 +70,7 @@
     *,
     is_remote: bool,
 ) -> Iterator[tuple[Rank, ServerState]]:
-    """Rank the drawn servers that may take the connection and pass the admission test."""
+    """Rank the drawn servers that may be sent the connection and pass the admission test."""
     estimator = context.estimator
     now_us = context.now_us
     is_load_known = context.fleet.load_per_connection is not None
@@ -97,7 +97,7 @@
 
 
 def may_attempt(context: DecisionContext, connection: ConnectionState, server: ServerState) -> bool:
-    """Whether the server is untried, and drops repeats of the request if it may have run already."""
+    """Return whether the server is untried, and drops repeats of the request if that may have run already."""
     if server.endpoint.name in connection.tried_servers:
         return False
     first_run = connection.first_run
@@ -113,19 +113,19 @@
 
 
 def draw(context: DecisionContext, servers: list[ServerState], size: int = MAX_EXAMINED) -> list[ServerState]:
-    """Return as many servers as a decision examines, from a random place in the list on."""
+    """Return up to `size` servers from a random position in the list on, with wrap-around."""
     first = int(context.rng.random() * len(servers))
     return [*servers[first : first + size], *servers[: min(first, size)]][:size]
 
 
 def draw_with_slow_start_capacity(context: DecisionContext, connection: ConnectionState) -> list[ServerState]:
-    """Return some servers in slow start that may be sent the connection now."""
+    """Return a few servers in slow start that may be sent the connection now."""
     drawn = draw(context, context.fleet.warming_up, MAX_WARMING_UP_EXAMINED)
     return [server for server in drawn if context.has_slow_start_capacity(server, connection)][:MAX_EXAMINED]
 
 
 def draw_recently_reported(context: DecisionContext, *, is_local: bool) -> list[ServerState]:
-    """Return some warm servers of the own zone, or of the others, that have just reported."""
+    """Return a few warm servers of the own zone, or of the other zones, that have reported recently."""
     recent = context.fleet.reported_since(context.now_us - RECENT_REPORT_US)
     zone = context.settings.zone
     return draw(context, [server for server in recent if (server.endpoint.zone == zone) is is_local])
--- a/stoatgw/decisions/state/__init__.py
+++ b/stoatgw/decisions/state/__init__.py
@@ -1,7 +1,7 @@
-"""The state that decisions are made from: what is observed of servers and connections, and estimates of both.
+"""The state that decisions are made from: observations of servers and connections, and estimates derived from them.
 
-It promises to be pure and to decide nothing. Whether a request is admitted, where it goes, what is checked, ejected
-or migrated is left to the policy, which imports from here; no module here imports the policy.
+The package is pure and makes no decisions. The policy, which imports it, decides whether a request is admitted and to
+which server, and what is checked, ejected or migrated. No module in this package imports the policy.
 """
 
 from __future__ import annotations
--- a/stoatgw/decisions/state/connection_state.py
+++ b/stoatgw/decisions/state/connection_state.py
@@ -1,4 +1,4 @@
-"""What one balancer keeps of one connection request, from its arrival to its end."""
+"""The state that one balancer keeps of a connection request, from its arrival until the connection ends."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from stoatgw.decisions.state.server_state import ServerState
 
 
-@dataclass(slots=True)  # not frozen: that would double the cost of one for each attempt
+@dataclass(slots=True)  # not frozen: one is created for each attempt, and frozen it would cost twice as much
 class ExecutedAttempt:
-    """An attempt that may have run: where and when it was sent."""
+    """An attempt that may have run: the server, and when it was sent."""
 
     endpoint: Endpoint
     sent_us: int
@@ -23,12 +23,12 @@
     request: Request
     deadline_us: int
     load_units: float  # its load in mean connections
-    server: ServerState | None = None  # of the attempt in flight, or of the established connection
+    server: ServerState | None = None  # server of the attempt in flight, or of the established connection
     sent_us: int = 0
     tried_servers: list[str] = field(default_factory=list)
-    health_check_rounds: int = 0  # made for this request
+    health_check_rounds: int = 0  # number of rounds made for this request
     is_established: bool = False
     is_migrating: bool = False
     is_abandoned: bool = False  # the client has disconnected
-    erring_server: ServerState | None = None  # which ended the last attempt with an error
+    erring_server: ServerState | None = None  # server that ended the last attempt with an error
     first_run: ExecutedAttempt | None = None  # the first attempt that may have run
--- a/stoatgw/decisions/state/connection_table.py
+++ b/stoatgw/decisions/state/connection_table.py
@@ -7,27 +7,27 @@
 from stoatgw.decisions.state.connection_state import ConnectionState
 from stoatgw.decisions.state.server_state import ServerState
 
-MAX_HINT_US = 1e12  # a hint from there on is not believed
+MAX_HINT_US = 1e12  # hints of this value or more are implausible and ignored
 
 
 class ConnectionTable:
-    """Keeps the connections and all counts that follow from where they are."""
+    """Keeps the connections, and all counters that depend on which server they are on."""
 
     def __init__(self, counts: BalancerState) -> None:
-        """Create an empty table; `counts` are kept up to date by it."""
+        """Create an empty table, which keeps `counts` up to date."""
         self._counts = counts
         self._by_request: dict[str, ConnectionState] = {}
         self._by_server: dict[ServerState, dict[str, ConnectionState]] = {}
 
     def __len__(self) -> int:
-        """Return the number of requests that have not ended."""
+        """Return the number of requests and connections that have not ended."""
         return len(self._by_request)
 
     def __getitem__(self, request_id: str) -> ConnectionState:
         return self._by_request[request_id]
 
     def get(self, request_id: str) -> ConnectionState | None:
-        """Return the request's connection, None if it has ended or never was."""
+        """Return the connection of a request; None if it has ended or does not exist."""
         return self._by_request.get(request_id)
 
     def open(self, request: Request, now_us: int) -> ConnectionState:
@@ -46,7 +46,7 @@
         self._counts.tenant_connections[connection.request.tenant] -= 1
 
     def assign(self, connection: ConnectionState, server: ServerState, sent_us: int) -> None:
-        """Count a connection on a server since a time; 0 if it was there before this balancer started."""
+        """Count a connection on a server from `sent_us` on; 0 if it existed before this balancer started."""
         connection.server = server
         connection.sent_us = sent_us
         server_connections = self._by_server.setdefault(server, {})
@@ -56,13 +56,13 @@
         if not connection.is_established:
             self._counts.setups_in_flight += 1
             server.setups_in_flight += 1
-        # One that comes back from a peer's drain is not one that the peers place as well.
+        # A client that reconnects because a peer drains does not imply that the peers place as many.
         if sent_us > 0 and not connection.request.is_returning:
             self._counts.placed_this_period += connection.load_units
         server.add_unreported(sent_us, connection.load_units)
 
     def release(self, connection: ConnectionState, server: ServerState, now_us: int) -> None:
-        """Count a connection on its server no longer."""
+        """Stop counting a connection on its server."""
         connection.server = None
         group = connection.request.group
         server.group_connections[group] -= 1
@@ -75,7 +75,7 @@
             del self._by_server[server]
         since_us = now_us
         if not connection.is_established:
-            # A set-up that failed counts as never sent; an established connection leaves from now on.
+            # A failed set-up counts as never sent; an established connection is subtracted from now on.
             since_us = connection.sent_us
             self._counts.setups_in_flight -= 1
             server.setups_in_flight -= 1
--- a/stoatgw/decisions/state/context.py
+++ b/stoatgw/decisions/state/context.py
@@ -1,4 +1,4 @@
-"""Everything that a decision is made from, and the actions decided so far."""
+"""The state that a decision is made from, and the actions decided on so far."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from stoatgw.decisions.state.slow_start import SlowStartLimiter
 from stoatgw.decisions.state.slow_start_slots import SlowStartSlots
 
-LOG_INTERVAL_US = 10_000_000  # each kind of log line at most so often
+LOG_INTERVAL_US = 10_000_000  # minimum interval between two log lines of one kind
 
 
 @dataclass(slots=True)
@@ -42,28 +42,28 @@
     fleet: FleetState
     connections: ConnectionTable
     estimator: LoadEstimator
-    slow_start: SlowStartLimiter  # of a small fleet
-    slow_start_slots: SlowStartSlots | None  # of a large one
+    slow_start: SlowStartLimiter  # used with few balancers
+    slow_start_slots: SlowStartSlots | None  # used with many balancers
     subscription: EndpointSubscription
-    max_priority_weight: float  # of the request classes
-    latency_objective_ms: float  # the strictest one of the request classes
-    checks_on_request: bool  # servers are health-checked for each request: reports are old by the time one comes
+    max_priority_weight: float  # highest of the request classes
+    latency_objective_ms: float  # strictest of the request classes
+    checks_on_request: bool  # servers are checked for each request, since reports are outdated when it arrives
     pending_checks: PendingHealthChecks = field(default_factory=PendingHealthChecks)
     now_us: int = 0
     actions: list[Action] = field(default_factory=list)
-    logged_us: dict[str, int] = field(default_factory=dict)  # by kind
+    logged_us: dict[str, int] = field(default_factory=dict)  # time of the last log line, by kind
 
     @classmethod
     def create(
         cls, settings: Settings, *, seed: int, has_many_balancers: bool, health_check_credit: float
     ) -> DecisionContext:
-        """Return the context of a balancer that has observed nothing yet.
+        """Return the context of a balancer without any observations.
 
         Args:
             settings: The balancer's settings.
-            seed: Of all random draws.
-            has_many_balancers: Whether there are so many balancers that each sees a request in seconds.
-            health_check_credit: How many health checks may be sent at the start.
+            seed: Seed of all random draws.
+            has_many_balancers: Whether there are so many balancers that each receives a request only every few seconds.
+            health_check_credit: Number of health checks that may be sent at the start.
         """
         counts = BalancerState(health_check_credit=health_check_credit)
         fleet = FleetState()
@@ -86,16 +86,16 @@
         )
 
     def log(self, kind: str, text: str) -> None:
-        """Add a log line, unless one of its kind was added lately."""
+        """Add a log line, unless one of its kind was added within `LOG_INTERVAL_US`."""
         if self.now_us - self.logged_us.get(kind, -LOG_INTERVAL_US) >= LOG_INTERVAL_US:
             self.logged_us[kind] = self.now_us
             self.actions.append(Log(f"{kind}: {text}"))
 
     def begin_period(self) -> None:
-        """Renew the means, and the own part of the fleet's connections."""
+        """Update the means, and this balancer's fraction of all connections."""
         self.counts.begin_period()
         self.estimator.begin_period(self.now_us)
-        # While a peer is away a larger part of the fleet's connections is ours.
+        # While a peer is down, this balancer has a larger fraction of all connections.
         reported = sum(server.reported_connections or 0.0 for server in self.fleet.ready)
         own_fraction = len(self.connections) / max(1.0, reported)
         self.counts.connection_share = min(1.0, max(1 / self.settings.balancers, own_fraction))
@@ -109,21 +109,21 @@
         return self.connections.open(request, self.now_us)
 
     def begin_migration(self, request_id: str) -> bool:
-        """Mark an established connection as migrating; return False if it is not one or does already."""
+        """Mark an established connection as migrating; return False if it is not established or already migrating."""
         connection = self.connections.get(request_id)
         if connection is None or not connection.is_established or connection.is_migrating:
             return False
         connection.is_migrating = True
         return True
 
-    def rebuild_pools(self, max_report_age_us: int) -> None:
-        """Bring the groups that a choice draws from up to date."""
+    def rebuild_server_pools(self, max_report_age_us: int) -> None:
+        """Rebuild the pools that servers are selected from."""
         self.fleet.rebuild_pools(
             self.settings, self.rng, self._shares_budget, now_us=self.now_us, max_report_age_us=max_report_age_us
         )
 
     def has_slow_start_capacity(self, server: ServerState, connection: ConnectionState) -> bool:
-        """Whether our part of a server's slow-start budget allows the connection."""
+        """Return whether this balancer's share of a server's slow-start budget allows the connection."""
         units = self.estimator.load_units(server, connection, self.now_us)
         if self.slow_start_slots is None:
             return self.slow_start.has_capacity(server, units, self.fleet.load_per_connection, self.now_us)
@@ -131,7 +131,7 @@
         return self.slow_start_slots.has_capacity(server, units, load, self.now_us)
 
     def consume_slow_start_capacity(self, server: ServerState, connection: ConnectionState) -> None:
-        """Take a connection from our part of a server's slow-start budget."""
+        """Consume this balancer's share of a server's slow-start budget for a connection."""
         units = self.estimator.load_units(server, connection, self.now_us)
         if self.slow_start_slots is None:
             self.slow_start.consume(server, units)
@@ -145,7 +145,7 @@
         return self.slow_start.shares_budget(server, self.fleet.load_per_connection, self.now_us)
 
     def apply_endpoint_update(self, update: EndpointUpdate) -> bool:
-        """Bring the listed servers up to date; return whether any came, went or changed its lifecycle."""
+        """Apply an update of the endpoint list; return whether a server was added, removed or changed its lifecycle."""
         self.subscription.record_update(update.kind, self.now_us)
         if update.kind is EndpointUpdateKind.ERROR:
             return False
@@ -169,19 +169,19 @@
     def record_outcome(self, connection: ConnectionState, server: ServerState, status: AttemptStatus) -> None:
         """Count an attempt or an established connection as ended."""
         self.connections.release(connection, server, self.now_us)
-        # Those that a drain migrates come back at once: they free no capacity anywhere.
+        # Clients of a draining server reconnect immediately, so their connections free no capacity elsewhere.
         is_finished = status is AttemptStatus.DELIVERED or connection.is_migrating
         if is_finished or not connection.is_established:
             self.counts.placed_this_period -= connection.load_units
         elif self.checks_on_request and not connection.is_abandoned:
-            # Cut off: the peers' clients on that server return as well.
+            # The connection was cut off: the peers' clients on that server reconnect as well.
             self.counts.placed_this_period += connection.load_units
         may_be_retried = not connection.is_established
         if may_be_retried and connection.first_run is None and not status.never_ran:
             connection.first_run = ExecutedAttempt(server.endpoint, connection.sent_us)
 
     def record_disconnect(self, event: ClientDisconnected) -> None:
-        """Note that a client has disconnected; a request that only waits for health checks ends."""
+        """Record that a client has disconnected; a request that is waiting for health checks is closed."""
         connection = self.connections.get(event.request_id)
         if connection is not None:
             connection.is_abandoned = True
@@ -198,7 +198,7 @@
         ]
 
     def estimate_servers(self, *, max_setups: int) -> list[ServerEstimate]:
-        """Return what is estimated of each ready server; one with `max_setups` in flight is not healthy."""
+        """Return the estimates of each ready server; one with `max_setups` set-ups in flight is not healthy."""
         if self.fleet.load_per_connection is None:
             return []
         return [self._estimate_server(server, max_setups) for server in self.fleet.ready]
--- a/stoatgw/decisions/state/endpoint_subscription.py
+++ b/stoatgw/decisions/state/endpoint_subscription.py
@@ -1,4 +1,4 @@
-"""Whether the endpoint list is subscribed to, and when a subscription is due."""
+"""The subscription to the endpoint list: whether it is active, and when the next attempt to subscribe is due."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class EndpointSubscription:
-    """The subscription to the endpoint list, as its updates show it."""
+    """The state of the subscription to the endpoint list, derived from the updates received."""
 
     def __init__(self, settings: Settings) -> None:
-        """Create a subscription that is due at once if the settings need one."""
+        """Create a subscription that is due immediately if the settings require one."""
         self._is_needed = settings.must_subscribe
         self._is_active = not settings.must_subscribe
         self._due_at_us = 0
 
     def record_update(self, kind: EndpointUpdateKind, now_us: int) -> None:
-        """Note what an update's kind shows: an error ends the subscription, a cached list shows none."""
+        """Record an update: an error ends the subscription, and a cached list does not prove that there is one."""
         if kind is EndpointUpdateKind.ERROR:
             self._is_active = not self._is_needed
             self._due_at_us = now_us + ERROR_BACKOFF_US
@@ -28,7 +28,7 @@
             self._is_active = True
 
     def begin_if_due(self, now_us: int) -> bool:
-        """Whether to subscribe now; the next time is due an interval later."""
+        """Return whether to subscribe now; if so, the next attempt is due after `RETRY_INTERVAL_US`."""
         if self._is_active or now_us < self._due_at_us:
             return False
         self._due_at_us = now_us + RETRY_INTERVAL_US
--- a/stoatgw/decisions/state/fleet_state.py
+++ b/stoatgw/decisions/state/fleet_state.py
@@ -1,4 +1,4 @@
-"""What one balancer has observed of all servers together."""
+"""One balancer's observations of all servers together."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 UNRESPONSIVE = (AttemptStatus.DIAL_FAILED, AttemptStatus.EXPIRED, AttemptStatus.DROPPED)
 RESPONSIVE = (AttemptStatus.DELIVERED, AttemptStatus.SHED, AttemptStatus.APP_ERROR)
-SUSPICION_US = 5_000_000  # an unresponsive server keeps its zone suspected this long
-MAX_CHECK_FAILURES = 1  # more failed health checks in a row make a server suspected
-MAX_WEIGHT = 1e9  # weights from there on are not believed
+SUSPICION_US = 5_000_000  # a failure to respond counts against a server and its zone for this long
+MAX_CHECK_FAILURES = 1  # a server with more consecutive failed health checks is suspected
+MAX_WEIGHT = 1e9  # weights of this value or more are implausible and ignored
 WEIGHT_SMOOTHING = 0.1  # weight of a report in the mean of its machine kind
 
 
 @dataclass(slots=True)
 class FleetState:
-    """All listed servers, the groups that a choice draws from, and means over them."""
+    """All listed servers, the pools that servers are selected from, and means over the servers."""
 
-    servers: dict[str, ServerState] = field(default_factory=dict)  # all listed, by name
+    servers: dict[str, ServerState] = field(default_factory=dict)  # all listed servers, by name
     ready: list[ServerState] = field(default_factory=list)  # active, in a random order
-    local: list[ServerState] = field(default_factory=list)  # ready and warm, of the own zone
-    remote: list[ServerState] = field(default_factory=list)  # ready and warm, of the other zones
-    warming_up: list[ServerState] = field(default_factory=list)  # in slow start, and this balancer may fill them
-    recently_reported: dict[str, ServerState] = field(default_factory=dict)  # warm; entries may have aged
-    honors_ejection: bool = True  # not in panic mode
-    suspected_since_us: dict[int, int] = field(default_factory=dict)  # by zone; 0 if not suspected
-    load_per_connection: float | None = None  # mean, None before the first report
-    kind_load_per_connection: dict[int, float] = field(default_factory=dict)  # mean of each machine kind
+    local: list[ServerState] = field(default_factory=list)  # ready and warm, in the own zone
+    remote: list[ServerState] = field(default_factory=list)  # ready and warm, in other zones
+    warming_up: list[ServerState] = field(default_factory=list)  # in slow start; this balancer shares their budget
+    recently_reported: dict[str, ServerState] = field(default_factory=dict)  # warm; reports may have aged
+    honors_ejection: bool = True  # False in panic mode
+    suspected_since_us: dict[int, int] = field(default_factory=dict)  # time by zone; 0 if the zone is not suspected
+    load_per_connection: float | None = None  # mean over all servers; None before the first report
+    kind_load_per_connection: dict[int, float] = field(default_factory=dict)  # mean by machine kind
     kind_connections_by_weight: dict[int, float] = field(default_factory=dict)  # mean of connections * live weight
 
     def apply_update(self, update: EndpointUpdate, now_us: int) -> bool:
-        """Bring the servers up to date; return whether any came, went or changed its lifecycle."""
+        """Apply an update of the endpoint list; return whether a server was added, removed or changed its lifecycle."""
         has_changed = update.kind is not EndpointUpdateKind.DELTA
         if has_changed:
             listed = {endpoint.name for endpoint in update.endpoints}
@@ -44,7 +44,7 @@
         for endpoint in update.endpoints:
             server = self.servers.get(endpoint.name)
             if server is not None and server.endpoint.started_us == endpoint.started_us:
-                # Live weights renew every endpoint each second: nothing more may be done for each.
+                # With live weights every endpoint is updated each second, so the work for each must stay minimal.
                 has_changed = has_changed or server.endpoint.lifecycle is not endpoint.lifecycle
                 server.endpoint = endpoint
             else:
@@ -55,7 +55,7 @@
         return has_changed
 
     def update_mean_loads(self, since_us: int) -> None:
-        """Renew the mean load per connection, by kind and of all; nearly empty servers hardly count."""
+        """Update the mean loads per connection, weighted by connections so that nearly empty servers hardly count."""
         loads: dict[int, float] = {}
         counts: dict[int, float] = {}
         for server in self.servers.values():
@@ -69,7 +69,7 @@
             self.load_per_connection = sum(loads.values()) / sum(counts.values())
 
     def record_weight(self, endpoint: Endpoint, connections: float) -> None:
-        """Learn what a live weight stands for: connections * weight, a running mean of each machine kind."""
+        """Update the running mean of connections * live weight by machine kind, which converts weights to counts."""
         product = connections * endpoint.weight
         mean = self.kind_connections_by_weight.get(endpoint.machine_kind)
         if mean:
@@ -77,13 +77,13 @@
         self.kind_connections_by_weight[endpoint.machine_kind] = product
 
     def load_per_connection_of(self, server: ServerState, since_us: int) -> float:
-        """Return the mean of a server's samples; without one since then that of its kind, or of the fleet."""
+        """Return the mean of a server's samples; without one after `since_us`, that of its kind or of all servers."""
         if server.load_samples and server.load_samples[-1][0] > since_us:
             return server.mean_load_per_connection
         return self.kind_load_per_connection.get(server.endpoint.machine_kind, self.load_per_connection or 0.0)
 
     def prefers_weight(self, server: ServerState, since_us: int) -> bool:
-        """Whether the live weight, which endpoint updates renew each second, is newer than its last report."""
+        """Return whether the live weight, which is updated each second, replaces a report from before `since_us`."""
         if server.reported_us >= since_us or not 0.0 < server.endpoint.weight < MAX_WEIGHT:
             return False
         return server.endpoint.machine_kind in self.kind_connections_by_weight
@@ -97,7 +97,7 @@
         now_us: int,
         max_report_age_us: int,
     ) -> None:
-        """Bring the groups that a choice draws from up to date, each in a random order."""
+        """Rebuild the pools that servers are selected from, each in a random order."""
         self.ready = [server for server in self.servers.values() if server.endpoint.lifecycle is Lifecycle.ACTIVE]
         rng.shuffle(self.ready)
         self.local = []
@@ -116,11 +116,11 @@
         self.update_panic_mode(now_us)
 
     def reported_since(self, since_us: int) -> list[ServerState]:
-        """Return the warm servers that have reported after a time."""
+        """Return the warm servers that have reported after `since_us`."""
         return [server for server in self.recently_reported.values() if server.reported_us > since_us]
 
     def health(self, server: ServerState, now_us: int) -> ServerHealth:
-        """Return whether a server is ejected, or suspected since it or its zone may not respond."""
+        """Return whether a server is ejected, or suspected because it or its zone may be unresponsive."""
         last_response_us = server.last_response_us
         is_unresponsive = server.last_failure_us > max(last_response_us, now_us - SUSPICION_US)
         if server.ejected_until_us > now_us and (self.honors_ejection or is_unresponsive):
@@ -131,12 +131,12 @@
         return ServerHealth.HEALTHY
 
     def update_panic_mode(self, now_us: int) -> None:
-        """Ignore ejection where most servers are ejected: a shared cause is likely, ejecting would add to it."""
+        """Ignore ejection if most servers are ejected: a shared cause is likely, and ejection would make it worse."""
         ejected = sum(server.ejected_until_us > now_us for server in self.ready)
         self.honors_ejection = 2 * ejected <= len(self.ready)
 
     def record_contact(self, server: ServerState, status: AttemptStatus, now_us: int) -> None:
-        """Note whether a server responds, and suspect its zone while at least two, and most, do not."""
+        """Record whether a server responded; suspect its zone while at least two, and most, of its servers do not."""
         has_failed = status in UNRESPONSIVE
         if has_failed:
             server.last_failure_us = now_us
--- a/stoatgw/decisions/state/load_report.py
+++ b/stoatgw/decisions/state/load_report.py
@@ -1,24 +1,24 @@
-"""A server's load report, as its columns give it."""
+"""A server's load report, parsed from its columns."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Self
 
-MAX_CONNECTIONS = 1e6  # reports of more are not believed
-MAX_LOAD = 1e3
+MAX_CONNECTIONS = 1e6  # reports of this many connections or more are implausible and ignored
+MAX_LOAD = 1e3  # reports of this load or more are implausible and ignored
 
 
-@dataclass(slots=True)  # not frozen: that would double the cost of one for each report
+@dataclass(slots=True)  # not frozen: one is created for each report, and frozen it would cost twice as much
 class LoadReport:
-    """How much one server has to do, by its own report."""
+    """The load of one server, as reported by itself."""
 
-    load: float  # over its capacity
-    connections: float  # of all balancers
+    load: float  # relative to its capacity
+    connections: float  # through all balancers
 
     @classmethod
     def parse(cls, columns: tuple[str, ...], row: tuple[float | None, ...]) -> Self | None:
-        """Read a report's row; None if a value is missing or beyond belief."""
+        """Parse a report's row; return None if a value is missing or implausible."""
         report = dict(zip(columns, row, strict=False))
         load = report.get("x0", report.get("utilization"))
         connections = report.get("outstanding")
--- a/stoatgw/decisions/state/server_health.py
+++ b/stoatgw/decisions/state/server_health.py
@@ -1,4 +1,4 @@
-"""How healthy a server is by what has been observed of it and its zone."""
+"""The health of a server, as observed of the server and its zone."""
 
 from __future__ import annotations
 
--- a/stoatgw/decisions/state/slow_start_slots.py
+++ b/stoatgw/decisions/state/slow_start_slots.py
@@ -1,9 +1,10 @@
-"""Slow start in a large fleet: when one balancer may send a connection to a server that has just started.
+"""Slow start with many balancers: when one balancer may send a connection to a server that has just started.
 
-The settings say what a server in slow start bears within a window from all balancers together, which share nothing.
-Each server therefore has a schedule of slots that all balancers compute alike from its start: a slot belongs to one
-balancer, is good for one connection and stays open until a number of later slots have begun. As many slots touch
-any window as the budget has connections, whoever asks and whenever.
+The settings limit what all balancers together may send to a server in slow start within a window, but the balancers
+share no state. Each server therefore has a schedule of slots, which every balancer derives in the same way from the
+server's start time. A slot belongs to one balancer, allows one connection, and stays open until a number of later slots
+have begun. The number of slots that overlap any window is limited to the connections in the budget, whichever
+balancers use the slots and whenever they do.
 """
 
 from __future__ import annotations
@@ -15,56 +16,58 @@
 from stoatgw.decisions.settings import Settings
 from stoatgw.decisions.state.server_state import ServerState
 
-NEW_GROUP_UNITS = 1.0  # what a server in slow start pays for a new group
-EXCESS_UNITS = 3.0  # load units over the budget that a server bears
-MAX_SLOTS_PER_WINDOW = 64  # slots that begin within a window
-SLOT_BITS = 6
+NEW_GROUP_UNITS = 1.0  # extra load units of the first connection of a group on a server in slow start
+EXCESS_UNITS = 3.0  # load units by which the budget may be exceeded without harm to the server
+MAX_SLOTS_PER_WINDOW = 64  # maximum number of slots that begin within a window
+SLOT_BITS = 6  # bits of a slot's number within its window
 MAX_REQUEST_INTERVAL_US = 10_000_000
 INTERVAL_SMOOTHING = 0.2  # weight of the last interval in the mean
-GOLDEN_RATIO = 2_654_435_769  # as a part of 2**32: its multiples spread evenly over the balancers
+GOLDEN_RATIO = 2_654_435_769  # as a fraction of 2**32; its multiples are distributed evenly over the balancers
 HASH_MASK = 0xFFFF_FFFF
 
 
 @dataclass(frozen=True, slots=True)
 class SlotSchedule:
-    """How the slots of a server follow one another.
+    """The sequence of the slots of a server.
 
     Attributes:
-        slots_per_window: Slots that begin within a window; 0 for one in every second window.
-        open_slots: The latest slots that are still open at any time.
+        slots_per_window: Number of slots that begin within a window; 0 means one slot in every second window.
+        open_slots: Number of the latest slots that are open at any time.
     """
 
     slots_per_window: int
     open_slots: int
 
 
-# When the slots of a window begin, by their number, in MAX_SLOTS_PER_WINDOW parts of it: fewer begin at a subset.
+# Offsets at which the slots of a window begin, in units of window / MAX_SLOTS_PER_WINDOW, by the number of slots. The
+# offsets of fewer slots are a subset of the offsets of more slots.
 _REVERSED_BITS = [int(f"{index:0{SLOT_BITS}b}"[::-1], 2) for index in range(MAX_SLOTS_PER_WINDOW)]
 SLOT_OFFSETS = [sorted(_REVERSED_BITS[:slots_per_window]) for slots_per_window in range(MAX_SLOTS_PER_WINDOW + 1)]
 
 
 class SlowStartSlots:
-    """The settings' budget as one of many balancers follows it."""
+    """Enforces the slow-start budgets as one of many balancers."""
 
     def __init__(self, settings: Settings) -> None:
-        """Create a limiter that has seen no request."""
+        """Create a limiter that has received no request."""
         self._settings = settings
         self._window_us = max(1, settings.fall_us)
         self._has_groups = False
         self._last_request_us = 0
-        self._request_interval_us = float(MAX_REQUEST_INTERVAL_US)  # mean
+        self._request_interval_us = float(MAX_REQUEST_INTERVAL_US)  # smoothed mean
 
     def record_request(self, request: Request, now_us: int) -> None:
-        """Note a request: how often they come, and whether they have groups."""
+        """Record a request: update the mean interval, and whether requests have groups."""
         interval_us = min(MAX_REQUEST_INTERVAL_US, now_us - self._last_request_us)
         self._request_interval_us += INTERVAL_SMOOTHING * (interval_us - self._request_interval_us)
         self._last_request_us = now_us
         self._has_groups = self._has_groups or (self._settings.groups and request.group is not None)
 
     def has_capacity(self, server: ServerState, units: float, load_per_connection: float | None, now_us: int) -> bool:
-        """Return whether a connection of so many load units may be sent to the server.
+        """Return whether a connection of `units` load units may be sent to the server.
 
-        `load_per_connection` is what a connection takes of the server's full capacity, None while it is not known.
+        `load_per_connection` is the fraction of the server's full capacity that one connection uses; None while it is
+        not known.
         """
         budget = self._budget(server, load_per_connection, now_us)
         if units > max(self._slot_units, budget / 2):
@@ -74,7 +77,7 @@
         return max(1.0, units) <= server.slow_start_units_left and self._is_used_slot_open(server, budget, now_us)
 
     def consume(self, server: ServerState, units: float, load_per_connection: float | None, now_us: int) -> None:
-        """Take a connection of so many load units from the server's budget."""
+        """Consume the slot, or a part of the slot in use, for a connection of `units` load units."""
         if server.warm_up_fraction(now_us, self._settings) >= 1.0:
             return
         slot = self._open_slot(server, self._budget(server, load_per_connection, now_us), now_us)
@@ -88,7 +91,7 @@
         return 1.0 + NEW_GROUP_UNITS if self._has_groups else 1.0
 
     def _budget(self, server: ServerState, load_per_connection: float | None, now_us: int) -> float:
-        """Return how many connections all balancers may send to the server within a window."""
+        """Return how many connections all balancers together may send to the server within a window."""
         settings = self._settings
         if not load_per_connection:
             return 0.0
@@ -97,9 +100,10 @@
         return settings.fall_multiple * warm_up_fraction * self._window_us / warm_up_load
 
     def _schedule(self, budget: float) -> SlotSchedule:
-        """Divide the budget, and what is allowed beyond it, into slots that begin and slots that stay open.
+        """Divide the budget plus the excess into slots that begin within a window and earlier slots that stay open.
 
-        Where requests are rare most slots stay open, where they are frequent most begin within the window.
+        If requests are rare, most of the slots are earlier ones that stay open; if they are frequent, most begin within
+        the window.
         """
         slot_units = self._slot_units
         max_slots = int((budget + EXCESS_UNITS) / slot_units)
@@ -111,7 +115,7 @@
         return SlotSchedule(min(MAX_SLOTS_PER_WINDOW, budgeted_slots, max_slots - open_slots), open_slots)
 
     def _open_slot(self, server: ServerState, budget: float, now_us: int) -> int | None:
-        """Return the latest open slot of this balancer that comes after those that it has used."""
+        """Return this balancer's latest open slot that is later than the last one it used; None if there is none."""
         settings = self._settings
         for slot in self._open_slots(server, budget, now_us):
             if slot <= server.slow_start_slot:
@@ -125,7 +129,7 @@
         return server.slow_start_slot in self._open_slots(server, budget, now_us)
 
     def _open_slots(self, server: ServerState, budget: float, now_us: int) -> Iterator[int]:
-        """Give the numbers of the slots that are open, the latest first."""
+        """Yield the numbers of the open slots, latest first."""
         schedule = self._schedule(budget)
         age_us = max(0, now_us - server.start_us(now_us))
         window, offset_us = divmod(age_us, self._window_us)
