--- a/stoatgw/decisions/state/load_estimator.py
+++ b/stoatgw/decisions/state/load_estimator.py
@@ -17,7 +17,7 @@
 LATENCY_VALID_US = 1_500_000  # an observed message latency is used for this long
 OVERLOAD_VALID_US = 3_000_000  # a reported load over 1 is used for this long
 CERTAIN_CONNECTIONS = 4.0  # a report of this many connections has the same weight as the mean of the server's kind
-NEW_GROUP_UNITS = 3.0  # load units of the first connection of a group on a warm server
+NEW_GROUP_UNITS = 3.0  # extra load units of the first connection of a group on a warm server
 
 
 class LoadEstimator:
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,4 +1,4 @@
-"""A test harness: one balancer, a clock, and shorthands for events."""
+"""A test harness: one balancer with a clock, and short methods to send it events."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 from stoatgw.decisions.state.context import DecisionContext
 from stoatgw.decisions.state.server_state import ServerState
 
-A = TypeVar("A", bound=Action)
+ActionT = TypeVar("ActionT", bound=Action)
 SECOND = 1_000_000
 T0 = 1_000 * SECOND
 
 
 def settings(**changes: Any) -> Settings:
-    """Settings of a plain deployment, with changes."""
-    base: dict[str, Any] = {
+    """Return the settings of a simple deployment, with changes."""
+    defaults: dict[str, Any] = {
         "profiles": (
             RequestClass(on_time_us=300_000, deadline_us=2 * SECOND, worth=5.0, message_aim_us=100_000),
             RequestClass(on_time_us=300_000, deadline_us=2 * SECOND, worth=1.0, message_aim_us=60_000),
@@ -55,17 +55,17 @@
         "fall_us": SECOND,
         "granularity_us": 5_000,
     }
-    return Settings(**(base | changes))
+    return Settings(**(defaults | changes))
 
 
 class BalancerHarness:
-    """Drives one balancer and remembers the actions of the last event."""
+    """Drives one balancer and stores the actions of the last event."""
 
     def __init__(self, config: Settings | None = None, seed: int = 7) -> None:
         self.balancer = Balancer(config or settings(), seed)
         self.now_us = T0
         self.request_count = 0
-        # The last result of each server, which it gives again whenever it is checked.
+        # The last result of each server, which answers every later health check of it.
         self.health_check_results: dict[str, HealthCheckResult] = {}
         self.actions = self.balancer.start(self.now_us)
 
@@ -75,15 +75,15 @@
         return self.balancer._context
 
     def server(self, name: str) -> ServerState:
-        """The state of a listed server."""
+        """Return the state of a listed server."""
         return self.context.fleet.servers[name]
 
     def warm_up_fraction(self, name: str) -> float:
-        """How far a server has warmed up, by the balancer's state."""
+        """Return a server's warm-up fraction, as the balancer computes it."""
         return self.server(name).warm_up_fraction(self.now_us, self.context.settings)
 
     def handle(self, event: Event) -> list[Action]:
-        """Handle one event now."""
+        """Handle one event at the current time."""
         self.actions = self.balancer.handle(event, self.now_us)
         if isinstance(event, HealthCheckResult):
             self.health_check_results[event.server] = event
@@ -96,7 +96,7 @@
         return self.handle(EndpointUpdate(kind, 1, endpoints))
 
     def list_servers(self, **zones: int) -> None:
-        """List warm servers by name and zone, and no others."""
+        """List these warm servers, given by name and zone, and no others."""
         self.update_endpoints(*(Endpoint(name, zone=zone) for name, zone in zones.items()))
 
     def report(self, server: str, load: float | None, count: float | None) -> list[Action]:
@@ -104,53 +104,53 @@
         return self.handle(HealthCheckResult(server, AttemptStatus.DELIVERED, 1_000, (load, count)))
 
     def advance_period(self, seconds: float = 1.0) -> list[Action]:
-        """End a period after so many seconds."""
+        """Advance the clock by `seconds` and end the period."""
         self.now_us += int(seconds * SECOND)
         return self.handle(TimerExpired(0))
 
     def request(self, request_class: int = 0, **fields: Any) -> list[Action]:
-        """Request a connection, and answer the health checks that this causes."""
+        """Request a connection, and answer the health checks that the request causes."""
         self.request_count += 1
         request_id = fields.pop("request_id", f"{self.request_count:016x}")
         return self.answer_health_checks(self.handle(Request(request_id, request_class, 2 * SECOND, **fields)))
 
     def answer_health_checks(self, actions: list[Action]) -> list[Action]:
-        """Answer every health check among the actions by the server's last result, or by none; return all actions."""
-        done: list[Action] = []
+        """Answer each health check in the actions with its server's last result, or a timeout; return all actions."""
+        all_actions: list[Action] = []
         while actions:
-            done += actions
+            all_actions += actions
             checked = [action.server for action in actions if isinstance(action, CheckHealth)]
             actions = []
             for server in checked:
                 unanswered = HealthCheckResult(server, AttemptStatus.EXPIRED, 500_000, ())
                 actions += self.balancer.handle(self.health_check_results.get(server, unanswered), self.now_us)
-        self.actions = done
-        return done
+        self.actions = all_actions
+        return all_actions
 
     def establish(self, request_id: str, server: str, attempt: int = 0) -> list[Action]:
-        """Establish an attempt's connection."""
+        """Establish the connection of an attempt."""
         return self.handle(AttemptEstablished(request_id, attempt, server, 10_000))
 
     def end_attempt(
         self, request_id: str, server: str, status: AttemptStatus, *, is_final: bool = False, attempt: int = 0
     ) -> list[Action]:
-        """End an attempt or its connection."""
+        """End an attempt or its established connection."""
         return self.handle(AttemptOutcome(request_id, attempt, server, status, 10_000, is_final))
 
     def report_latency(self, request_id: str, server: str, latency_ms: float) -> list[Action]:
-        """Handle a message's latency."""
+        """Handle a message latency."""
         return self.handle(SessionMetric(request_id, 0, server, SessionMetricKind.DELAY, latency_ms))
 
-    def actions_of(self, kind: type[A]) -> list[A]:
-        """The actions of one type among the last ones."""
+    def actions_of(self, kind: type[ActionT]) -> list[ActionT]:
+        """Return the last actions that are of one type."""
         return [action for action in self.actions if isinstance(action, kind)]
 
     def sent_to(self) -> str | None:
-        """The server that the last actions send a request to, if any."""
+        """Return the server that the last actions send a request to, if any."""
         sends = self.actions_of(Send)
         return sends[0].server if sends else None
 
 
 def draining(name: str, zone: int = 0) -> Endpoint:
-    """An endpoint that drains."""
+    """Return an endpoint that is draining."""
     return Endpoint(name, Lifecycle.DRAINING, zone)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The admission test and the choice, by numbers worked out by hand."""
+"""The admission test and the selection of a server, checked against values computed by hand."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.balancer_harness import SECOND, T0, BalancerHarness, draining, settings
 
 
-def test_lowest_expected_load_in_the_local_zone_wins() -> None:
+def test_the_lowest_expected_load_in_the_local_zone_is_selected() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.50, 50)  # r = 0.010, r * (n + 1) = 0.51
@@ -32,10 +32,10 @@
     assert harness.sent_to() == "b"
 
 
-def test_rate_is_the_mean_of_the_ratios_over_the_lookback() -> None:
+def test_load_per_connection_is_the_mean_of_the_samples_in_the_lookback() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
-    # a: r = (0.010 + 0.030) / 2 = 0.020, with n = 20: 0.42. The last report alone would say 0.63.
+    # a: r = (0.010 + 0.030) / 2 = 0.020, with n = 20: 0.42. The last report alone would give 0.63.
     harness.report("a", 0.10, 10)
     harness.report("a", 0.60, 20)
     # b: r = 0.022, with n = 20: 0.462.
@@ -54,10 +54,10 @@
 
 
 @pytest.mark.parametrize(("count", "admitted"), [(31, True), (32, False)])
-def test_low_priority_weight_meets_a_tighter_margin(count: int, admitted: bool) -> None:
+def test_a_low_priority_weight_has_a_lower_margin(count: int, admitted: bool) -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0)
-    # Worth 1 of 5: margin 0.8 * (1 - 0.4 * 0.5) = 0.64, so r * (n + 1) = 0.02 * 33 does not pass.
+    # Priority weight 1 of 5: the margin is 0.8 * (1 - 0.4 * 0.5) = 0.64, so r * (n + 1) = 0.02 * 33 does not pass.
     harness.report("a", 0.02 * count, count)
     harness.request(request_class=1)
     assert (harness.sent_to() == "a") is admitted
@@ -78,17 +78,17 @@
     assert harness.sent_to() == "a"
 
 
-@pytest.mark.parametrize(("held", "admitted"), [(3, True), (12, False)])
-def test_a_quota_is_divided_by_connections_held_not_evenly(held: int, admitted: bool) -> None:
-    # Guards against a proxy whose peer is away: it holds all, and took most of it for beyond the tenants' shares.
+@pytest.mark.parametrize(("connections", "admitted"), [(3, True), (12, False)])
+def test_a_quota_is_divided_in_proportion_to_connections(connections: int, admitted: bool) -> None:
+    # Guards against a proxy whose peer is down: it has all connections, and counted most of them as over the quotas.
     harness = BalancerHarness(settings(balancers=2, tenant_quota_connections=(5.0, 100.0), over_share_worth=0.1))
     harness.list_servers(a=0)
     for _ in range(3):
         harness.request(tenant=0)
-    harness.report("a", 0.02 * held, held)  # ours are all, or a quarter, of what is there
+    harness.report("a", 0.02 * connections, connections)  # this balancer has all, or a quarter, of these connections
     harness.handle(TimerExpired(0))
     harness.now_us += SECOND
-    harness.report("a", 0.66, 33)  # with one more 0.68: under the margin, over that of a low priority weight
+    harness.report("a", 0.66, 33)  # 0.68 with one more: below the margin, but above that of a low priority weight
     harness.request(tenant=0)
     assert (harness.sent_to() == "a") is admitted
 
@@ -98,7 +98,7 @@
     harness.list_servers(near=0, far=1)
     harness.report("near", 0.56, 28)
     harness.report("far", 0.10, 5)
-    harness.request()  # near at 0.58 is under the spill load and the own zone comes first
+    harness.request()  # near would be at 0.58, below the spill load, and the own zone is preferred
     assert harness.sent_to() == "near"
     harness.report("near", 0.60, 30)
     harness.request()  # near would be at 0.62 or more
@@ -110,14 +110,14 @@
     assert harness.sent_to() is None
 
 
-def test_without_any_sample_the_local_server_with_fewest_connections_wins() -> None:
+def test_without_any_sample_the_local_server_with_the_fewest_connections_is_selected() -> None:
     harness = BalancerHarness(settings(can_probe=False, report_columns=()))
     harness.list_servers(a=0, b=0, c=1)
-    seen = []
+    selected = []
     for _ in range(6):
         harness.request()
-        seen.append(harness.sent_to())
-    assert sorted(str(name) for name in seen) == ["a", "a", "a", "b", "b", "b"]
+        selected.append(harness.sent_to())
+    assert sorted(str(name) for name in selected) == ["a", "a", "a", "b", "b", "b"]
 
 
 def test_a_server_that_never_reported_is_the_last_choice() -> None:
@@ -127,11 +127,11 @@
     harness.request()
     assert harness.sent_to() == "a"
     harness.report("a", 0.80, 40)
-    harness.request()  # a no longer passes; the fleet's mean r = 0.02 replaces that of the unreported ones
+    harness.request()  # a no longer passes; servers without reports have the fleet's mean r = 0.02
     assert harness.sent_to() in ("b", "unreported")
 
 
-def test_placements_count_until_a_report_can_show_them() -> None:
+def test_placements_count_until_a_report_can_include_them() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0)
     harness.report("a", 0.36, 18)
@@ -142,7 +142,7 @@
     harness.request()  # 0.02 * (18 + 21 + 1) = 0.8
     assert harness.actions_of(Reject)
     harness.now_us += SECOND // 2
-    harness.report("a", 0.36, 18)  # too soon: this report cannot show the burst yet
+    harness.report("a", 0.36, 18)  # too soon: this report cannot include the burst yet
     harness.request()
     assert harness.actions_of(Reject)
     harness.now_us += SECOND // 4
@@ -152,7 +152,7 @@
 
 
 def test_unreported_placements_are_expected_of_every_balancer() -> None:
-    # Guards against a warmed server filled to 1.3 by several balancers between two reports.
+    # Guards against a warm server that several balancers fill to a load of 1.3 between two reports.
     harness = BalancerHarness(settings(balancers=3))
     harness.list_servers(a=0)
     harness.report("a", 0.36, 18)
@@ -184,27 +184,27 @@
     harness.advance_period(3)
     harness.report("a", 0.70, 35)
     harness.report("b", 0.70, 35)
-    harness.request(hint_us=40_000, hint_valid=True)  # counts as 4: 0.02 * 39 = 0.78 passes still
+    harness.request(hint_us=40_000, hint_valid=True)  # counts as 4: 0.02 * 39 = 0.78 still passes
     assert harness.sent_to() is not None
     harness.request(hint_us=60_000, hint_valid=True)  # 60,000 over a mean of 17,500: 0.02 * 38.4 passes
     assert harness.sent_to() is not None
-    harness.request(hint_us=10**11, hint_valid=True)  # beyond belief: counted as 8 at most, not admitted
+    harness.request(hint_us=10**11, hint_valid=True)  # implausible: counted as 8 at most, and not admitted
     assert harness.actions_of(Reject)
     harness.advance_period(3)
     harness.report("a", 0.60, 30)
-    harness.request(hint_us=60_000, hint_valid=True)  # and the mean has not run away with it
+    harness.request(hint_us=60_000, hint_valid=True)  # the implausible hint has not distorted the mean
     assert harness.context.connections[f"{harness.request_count:016x}"].load_units > 1.0
 
 
-def test_a_group_is_sent_to_the_server_that_holds_it() -> None:
+def test_a_group_is_sent_to_the_server_that_has_it_already() -> None:
     harness = BalancerHarness(settings(groups=True))
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.40, 20)
     harness.report("b", 0.41, 20)
     harness.request(group=5)
-    first = harness.sent_to()
+    first_server = harness.sent_to()
     harness.request(group=5)
-    assert harness.sent_to() == first
+    assert harness.sent_to() == first_server
 
 
 def test_a_late_message_stops_admission_to_its_server_at_once() -> None:
@@ -215,7 +215,7 @@
     harness.request(request_id="1" * 16)
     assert harness.sent_to() == "a"
     harness.establish("1" * 16, "a")
-    harness.report_latency("1" * 16, "a", 60.0)  # the shortest aim: harnesses for a load of tau
+    harness.report_latency("1" * 16, "a", 60.0)  # the strictest objective: equivalent to a load of tau
     harness.request()
     assert harness.sent_to() == "b"
     harness.now_us += 2 * SECOND
@@ -224,7 +224,7 @@
 
 
 def test_a_few_sessions_migrate_off_a_server_with_late_messages() -> None:
-    # Guards against hundreds of connections kept to the end on a hung or overfull server.
+    # Guards against hundreds of connections that stay on a hung or overloaded server until they end.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.10, 10)
@@ -233,14 +233,13 @@
         harness.request(request_id=f"{index:016x}", request_class=index % 2)
         assert harness.sent_to() == "a"
         harness.establish(f"{index:016x}", "a")
-    harness.report_latency("0" * 16, "a", 50.0)  # on time for its class: nobody is moved
+    harness.report_latency("0" * 16, "a", 50.0)  # within the objective of its class: no session migrates
     assert not harness.actions_of(Migrate)
     harness.report("b", 0.10, 10)
     harness.report_latency("0" * 16, "a", 400.0)
     assert len(harness.actions_of(Migrate)) in (1, 2)
-    assert {int(action.request_id, 16) % 2 for action in harness.actions_of(Migrate)} == {
-        1
-    }  # lowest priority weight first
+    # Lowest priority weight first.
+    assert {int(action.request_id, 16) % 2 for action in harness.actions_of(Migrate)} == {1}
 
 
 def test_no_session_migrates_where_no_other_server_has_capacity() -> None:
@@ -253,16 +252,16 @@
     harness.report("b", 0.90, 45)
     harness.report_latency("1" * 16, "a", 400.0)
     assert not harness.actions_of(Migrate)
-    harness.report("a", 1.40, 30)  # over the margin: those of low priority weight migrate even so
+    harness.report("a", 1.40, 30)  # over the margin: sessions of low priority weight migrate anyway
     migrations = 0
-    for _ in range(60):  # a tenth of one connection: left to chance
+    for _ in range(60):  # a tenth of one connection: rounded at random
         harness.report_latency("1" * 16, "a", 400.0)
         migrations += len(harness.actions_of(Migrate))
     assert migrations == 1
 
 
 def test_estimates_recover_from_outliers() -> None:
-    # Guards against a server that hung, showed a huge load over one connection, and was shunned.
+    # Guards against a server that is avoided after a hang, when it reported a huge load with one connection.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     for _ in range(5):
@@ -281,7 +280,7 @@
 
 
 def test_an_overload_does_not_raise_the_load_per_connection_afterwards() -> None:
-    # Guards against a fleet that, after an overload, rejected clients at half of its capacity.
+    # Guards against a fleet that, after an overload, rejects clients at half of its capacity.
     harness = BalancerHarness()
     harness.list_servers(a=0)
     for _ in range(3):
@@ -290,7 +289,7 @@
         harness.advance_period()
         harness.report("a", 2.5, 40)
     harness.request()
-    assert harness.actions_of(Reject)  # the reported load alone closes it
+    assert harness.actions_of(Reject)  # the reported load alone rules it out
     harness.report("a", 0.50, 50)
     harness.request()
     assert harness.sent_to() == "a"
@@ -309,8 +308,8 @@
     assert harness.sent_to() == "a"
 
 
-def test_an_emptied_server_that_still_hangs_gets_nothing() -> None:
-    # Guards against set-ups drawn to a hung server without connections: its r (n + 1) was lowest.
+def test_an_empty_server_that_hangs_is_sent_no_request() -> None:
+    # Guards against set-ups sent to a hung server without connections, whose r * (n + 1) is the lowest.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     for _ in range(3):
@@ -332,7 +331,7 @@
     harness.report("c", 0.40, 20)
     harness.request(request_id="1" * 16)
     harness.end_attempt("1" * 16, "a", AttemptStatus.EXPIRED)
-    assert harness.sent_to() in ("b", "c")  # the one further try
+    assert harness.sent_to() in ("b", "c")  # the only retry
     harness.request()
     assert harness.sent_to() != "a"
     harness.now_us += SECOND + 1
@@ -343,7 +342,7 @@
     harness.context.counts.setup_window = 200.0
     harness.now_us += SECOND + 1
     harness.request()
-    assert harness.sent_to() != "a"  # twice as long now
+    assert harness.sent_to() != "a"  # ejected for twice as long now
     harness.now_us += SECOND
     harness.request()
     assert harness.sent_to() == "a"
@@ -365,7 +364,7 @@
 
 
 def test_failing_setups_narrow_the_setup_window() -> None:
-    # Guards against a burst: while the shared store is slow, more set-ups at once only fail more.
+    # Guards against bursts of set-ups while the shared store is slow, of which more fail the more there are.
     harness = BalancerHarness()
     names = [f"s{index}" for index in range(40)]
     harness.update_endpoints(*(Endpoint(name) for name in names))
@@ -439,7 +438,7 @@
 
 
 def test_ties_are_broken_by_the_seed_alone() -> None:
-    def picks(seed: int) -> list[str | None]:
+    def selected_servers(seed: int) -> list[str | None]:
         harness = BalancerHarness(seed=seed)
         harness.list_servers(a=0, b=0, c=0, d=0)
         servers = []
@@ -451,8 +450,8 @@
             harness.now_us += 10 * SECOND
         return servers
 
-    assert picks(1) == picks(1)
-    assert picks(1) != picks(2)
+    assert selected_servers(1) == selected_servers(1)
+    assert selected_servers(1) != selected_servers(2)
 
 
 def test_a_restarted_process_is_a_new_server() -> None:
@@ -485,7 +484,7 @@
 
 
 def test_a_burst_of_setups_is_spread_and_then_rejected() -> None:
-    # Guards against the server that looked emptiest getting 45 set-ups in a second: 25 timed out.
+    # Guards against 45 set-ups within a second on the server with the lowest load, of which 25 timed out.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.02, 10)
@@ -500,7 +499,7 @@
     assert harness.sent_to() == "a"
 
 
-def test_a_bad_request_that_errs_everywhere_ejects_no_server() -> None:
+def test_a_malformed_request_that_fails_everywhere_ejects_no_server() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0, d=0, e=0)
     harness.report("a", 0.2, 10)
@@ -517,7 +516,7 @@
 
 
 @pytest.mark.parametrize("served_elsewhere", [True, False])
-def test_a_server_that_errs_is_ejected(served_elsewhere: bool) -> None:
+def test_a_server_that_returns_errors_is_ejected(served_elsewhere: bool) -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0)
     harness.report("a", 0.2, 10)
@@ -536,7 +535,7 @@
     assert harness.sent_to() != "a"
 
 
-def test_a_server_that_holds_the_group_is_preferred_to_one_a_little_emptier() -> None:
+def test_a_server_with_the_group_is_preferred_to_one_with_a_slightly_lower_load() -> None:
     harness = BalancerHarness(settings(groups=True))
     harness.list_servers(a=0)
     harness.report("a", 0.40, 20)
@@ -550,9 +549,13 @@
     assert harness.sent_to() == "b"
 
 
-@pytest.mark.parametrize(("delay_ms", "least", "most"), [(60.0, 1, 2), (90.0, 1, 3), (6_000.0, 4, 5)])
-def test_the_later_the_messages_the_more_sessions_migrate(delay_ms: float, least: int, most: int) -> None:
-    # Guards against seconds of piled up work that a tenth at a time took ten seconds to come off.
+@pytest.mark.parametrize(
+    ("latency_ms", "min_migrations", "max_migrations"), [(60.0, 1, 2), (90.0, 1, 3), (6_000.0, 4, 5)]
+)
+def test_the_later_the_messages_the_more_sessions_migrate(
+    latency_ms: float, min_migrations: int, max_migrations: int
+) -> None:
+    # Guards against seconds of queued work: it took ten seconds to relieve a server of it by a tenth at a time.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.10, 10)
@@ -561,18 +564,18 @@
         harness.request(request_id=f"e{index:015x}")
         harness.establish(f"e{index:015x}", "a")
     harness.report("b", 0.05, 10)
-    harness.report_latency("e" + "0" * 15, "a", delay_ms)
-    assert least <= len(harness.actions_of(Migrate)) <= most
+    harness.report_latency("e" + "0" * 15, "a", latency_ms)
+    assert min_migrations <= len(harness.actions_of(Migrate)) <= max_migrations
 
 
-def test_clients_sent_here_by_a_peers_drain_are_not_expected_of_the_peers_too() -> None:
+def test_clients_of_a_draining_peer_do_not_count_as_placed_by_peers_as_well() -> None:
     # Guards against rejections at half the load while one of two proxies restarts.
-    def admitted(returned: bool) -> int:
+    def admitted(is_returning: bool) -> int:
         harness = BalancerHarness(settings(balancers=2))
         harness.list_servers(a=0)
         harness.report("a", 0.36, 18)
         while True:
-            harness.request(is_returning=returned)
+            harness.request(is_returning=is_returning)
             if harness.actions_of(Reject):
                 return harness.request_count - 1
             harness.establish(f"{harness.request_count:016x}", "a")
@@ -580,8 +583,8 @@
     assert (admitted(False), admitted(True)) == (11, 21)
 
 
-def test_a_server_that_never_reported_comes_after_all_that_pass() -> None:
-    # Guards against a broken server, which looks empty, being sent each client once others are over SPILL.
+def test_a_server_that_never_reported_ranks_after_all_others_that_pass() -> None:
+    # Guards against a broken server, which seems empty, that is sent every client once others are over SPILL_LOAD.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.66, 33)
@@ -602,19 +605,19 @@
 
 
 def test_a_rejection_checks_servers() -> None:
-    # Guards against a burst being rejected for a second by reports that the drain itself has outdated.
+    # Guards against a burst rejected for a second because of reports that were outdated by the drain itself.
     harness = BalancerHarness()
     harness.list_servers(a=0)
     harness.report("a", 0.9, 45)
     harness.request()
-    assert [type(action) for action in harness.actions] == [Reject, Log]  # asked just now
+    assert [type(action) for action in harness.actions] == [Reject, Log]  # checked just now
     harness.now_us += SECOND * 8 // 10
     harness.request()
     assert [type(action) for action in harness.actions] == [Reject, CheckHealth]
 
 
 def test_a_client_disconnect_does_not_eject_its_server_but_a_drain_does() -> None:
-    """Where many clients disconnected and came back at once, each ejected its server for 4 s; most were rejected."""
+    """When many clients disconnected and reconnected at once, each ejected its server for 4 s; most were rejected."""
     for has_disconnected, sent_to in ((True, "a"), (False, None)):
         harness = BalancerHarness()
         harness.list_servers(a=0)
@@ -631,10 +634,12 @@
 
 
 @pytest.mark.parametrize(("own_sessions", "balancers", "chosen"), [(13, 2, "a"), (0, 2, "b"), (13, 40, "b")])
-def test_a_group_new_to_a_server_weighs_three_as_far_as_we_know(own_sessions: int, balancers: int, chosen: str) -> None:
-    """At one deployment a group costs a server three mean connections, at another one; no setting says which.
+def test_a_new_group_costs_three_units_as_far_as_it_is_known_to_be_new(
+    own_sessions: int, balancers: int, chosen: str
+) -> None:
+    """In one deployment a group costs a server three mean connections, in another only one; no setting says which.
 
-    Guards against a process just started, or one of many, that takes its peers' groups for new ones and rejects.
+    Guards against a proxy that has just started, or one of many, that counts its peers' groups as new and rejects.
     """
     harness = BalancerHarness(settings(groups=True, balancers=balancers))
     harness.list_servers(a=0, b=0)
@@ -644,21 +649,21 @@
     if not own_sessions:
         harness.handle(SessionRestored(Request("a" * 16, 0, 0, group=7), "a"))
     harness.now_us += 2 * SECOND
-    harness.report("a", 0.50, 50)  # 0.51 for one more of the group, 0.05 less for the pull
-    harness.report("b", 0.43, 43)  # 0.47 with three for the group, 0.45 with one
+    harness.report("a", 0.50, 50)  # 0.51 with one more of the group, less the 0.05 of group affinity
+    harness.report("b", 0.43, 43)  # 0.47 if the group costs three more, 0.45 if one
     harness.request(group=7)
     assert harness.sent_to() == chosen
 
 
-def test_low_priority_weight_forgoes_more_only_while_a_higher_one_is_rejected() -> None:
-    # Guards against light connections of low priority being rejected for heavy ones that nobody rejects.
+def test_a_low_priority_weight_loses_more_margin_only_while_a_higher_one_is_rejected() -> None:
+    # Guards against light connections of low priority rejected in favour of heavy ones, none of which is rejected.
     harness = BalancerHarness()
     harness.list_servers(a=0)
-    harness.report("a", 0.60, 60)  # 0.61 with one more; a weight of a fifth passes under 0.8 - 0.16 at any time
+    harness.report("a", 0.60, 60)  # 0.61 with one more; a weight of a fifth always passes below 0.8 - 0.16
     harness.request(1)
     assert harness.sent_to() == "a"
     harness.report("a", 1.20, 60)
-    harness.request(0)  # the highest weight is rejected: now a fifth forgoes 0.256
+    harness.request(0)  # the highest weight is rejected: the margin of a fifth is now 0.256 lower
     assert harness.sent_to() is None
     harness.report("a", 0.60, 60)
     harness.advance_period()
@@ -674,8 +679,8 @@
     assert harness.sent_to() == "a"
 
 
-def test_a_group_new_to_a_server_in_slow_start_weighs_one() -> None:
-    # Guards against starting servers that stay empty: at a fifth of their capacity three connections are half of it.
+def test_a_group_new_to_a_server_in_slow_start_costs_one_unit() -> None:
+    # Guards against starting servers that stay empty: at a fifth of the capacity three connections are half of it.
     harness = BalancerHarness(settings(groups=True, balancers=1))
     harness.update_endpoints(Endpoint("a", started_us=T0 - 2 * SECOND))
     harness.now_us += SECOND
