--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -1,4 +1,4 @@
-"""Arbitrary legal histories: the rules that one balancer can keep are kept in all of them."""
+"""One balancer keeps the rules that it can keep alone, in any legal sequence of events."""
 
 from __future__ import annotations
 
@@ -48,23 +48,23 @@
 
 
 @dataclass
-class Seen:
-    """What the client's and the rules' side knows of one request."""
+class TrackedRequest:
+    """The state of one request as the client and the rules see it."""
 
     profile: RequestClass
     deadline_us: int
     attempts: list[Send] = field(default_factory=list)
-    in_flight: bool = False
-    established: bool = False
-    over: bool = False
-    first_run: tuple[Endpoint, int] | None = None
+    is_in_flight: bool = False
+    is_established: bool = False
+    has_ended: bool = False
+    first_run: tuple[Endpoint, int] | None = None  # server and time of the first attempt that may have run
 
 
-InFlight = list[tuple[str, Seen]]  # requests with an attempt in flight, by id
+InFlight = list[tuple[str, TrackedRequest]]  # requests with an attempt in flight, by id
 
 
 class World:
-    """Plays legal events and checks every action against the rules."""
+    """Sends legal events to a balancer and checks every action against the rules."""
 
     def __init__(self, draw: st.DataObject) -> None:
         self.draw = draw
@@ -78,57 +78,57 @@
                 tenant_quota_connections=draw.draw(st.sampled_from([(), (1.0, 5.0)])),
             )
         )
-        self.entries = {name: Endpoint(name, zone=index % 3, cell=index // 2) for index, name in enumerate(SERVERS)}
-        self.down_us: dict[str, int] = {}
-        self.requests: dict[str, Seen] = {}
-        self.check(self.harness.update_endpoints(*self.entries.values()))
+        self.endpoints = {name: Endpoint(name, zone=index % 3, cell=index // 2) for index, name in enumerate(SERVERS)}
+        self.inactive_since_us: dict[str, int] = {}
+        self.requests: dict[str, TrackedRequest] = {}
+        self.check(self.harness.update_endpoints(*self.endpoints.values()))
 
     def check(self, actions: list[Action]) -> None:
         now_us = self.harness.now_us
         for action in actions:
             if isinstance(action, Send):
-                seen = self.requests[action.request_id]
-                entry = self.entries[action.server]
-                assert not seen.over
-                assert not seen.in_flight
-                assert not seen.established
-                assert now_us < action.deadline_us < seen.deadline_us
-                assert len(seen.attempts) < self.harness.context.settings.max_attempts
-                if action.server in self.down_us:
-                    assert now_us <= self.down_us[action.server] + SECOND
-                self.check_repeat(seen, entry)
-                seen.attempts.append(action)
-                seen.in_flight = True
+                tracked = self.requests[action.request_id]
+                endpoint = self.endpoints[action.server]
+                assert not tracked.has_ended
+                assert not tracked.is_in_flight
+                assert not tracked.is_established
+                assert now_us < action.deadline_us < tracked.deadline_us
+                assert len(tracked.attempts) < self.harness.context.settings.max_attempts
+                if action.server in self.inactive_since_us:
+                    assert now_us <= self.inactive_since_us[action.server] + SECOND
+                self.check_repeat(tracked, endpoint)
+                tracked.attempts.append(action)
+                tracked.is_in_flight = True
             elif isinstance(action, Reject | Fail):
-                seen = self.requests[action.request_id]
-                assert not seen.over
-                assert not seen.in_flight
-                assert not seen.established
-                seen.over = True
-                profile = seen.profile
-                if isinstance(action, Reject) and seen.first_run is not None:
+                tracked = self.requests[action.request_id]
+                assert not tracked.has_ended
+                assert not tracked.is_in_flight
+                assert not tracked.is_established
+                tracked.has_ended = True
+                profile = tracked.profile
+                if isinstance(action, Reject) and tracked.first_run is not None:
                     assert profile.idempotency is not Idempotency.FRAGILE
                     assert profile.idempotency is Idempotency.RETRYABLE or profile.key_scope is KeyScope.ALL
             elif isinstance(action, Migrate):
-                assert self.requests[action.request_id].established
-        for seen in self.requests.values():
-            assert seen.over or seen.in_flight or seen.established, "nothing stays unanswered"
+                assert self.requests[action.request_id].is_established
+        for tracked in self.requests.values():
+            assert tracked.has_ended or tracked.is_in_flight or tracked.is_established, "no request stays unanswered"
 
-    def check_repeat(self, seen: Seen, entry: Endpoint) -> None:
-        if seen.first_run is None or seen.profile.idempotency is Idempotency.RETRYABLE:
+    def check_repeat(self, tracked: TrackedRequest, endpoint: Endpoint) -> None:
+        if tracked.first_run is None or tracked.profile.idempotency is Idempotency.RETRYABLE:
             return
-        assert seen.profile.idempotency is Idempotency.DEDUP
-        first, sent_us = seen.first_run
-        assert self.harness.now_us <= sent_us + seen.profile.key_ttl_us
-        if seen.profile.key_scope is KeyScope.ZONE:
-            assert entry.zone == first.zone
-        if seen.profile.key_scope is KeyScope.CELL:
-            assert entry.cell == first.cell
+        assert tracked.profile.idempotency is Idempotency.DEDUP
+        first_endpoint, sent_us = tracked.first_run
+        assert self.harness.now_us <= sent_us + tracked.profile.key_ttl_us
+        if tracked.profile.key_scope is KeyScope.ZONE:
+            assert endpoint.zone == first_endpoint.zone
+        if tracked.profile.key_scope is KeyScope.CELL:
+            assert endpoint.cell == first_endpoint.cell
 
     def step(self) -> None:
         pick = self.draw.draw
         self.harness.now_us += pick(st.sampled_from([0, 1_000, 50_000, 400_000]))
-        in_flight = [(name, seen) for name, seen in self.requests.items() if seen.in_flight]
+        in_flight = [(request_id, tracked) for request_id, tracked in self.requests.items() if tracked.is_in_flight]
         overdue = [item for item in in_flight if item[1].attempts[-1].deadline_us <= self.harness.now_us]
         if overdue:
             self.end_attempt(*overdue[0], AttemptStatus.EXPIRED)
@@ -150,12 +150,12 @@
         pick = self.draw.draw
         request_id = f"{len(self.requests):016x}"
         request_class = pick(st.integers(0, len(PROFILES) - 1))
-        left_us = pick(st.integers(1, SECOND))
-        self.requests[request_id] = Seen(PROFILES[request_class], self.harness.now_us + left_us)
+        time_left_us = pick(st.integers(1, SECOND))
+        self.requests[request_id] = TrackedRequest(PROFILES[request_class], self.harness.now_us + time_left_us)
         request = Request(
             request_id,
             request_class,
-            left_us,
+            time_left_us,
             tenant=pick(st.integers(0, 2)),
             group=pick(st.none() | st.integers(0, 3)),
             hint_us=pick(st.none() | st.integers(-5, 10**15)),
@@ -165,67 +165,71 @@
 
     def fail_attempt(self, in_flight: InFlight) -> None:
         if in_flight:
-            name, seen = self.draw.draw(st.sampled_from(in_flight))
+            request_id, tracked = self.draw.draw(st.sampled_from(in_flight))
             failures = [status for status in AttemptStatus if status is not AttemptStatus.DELIVERED]
-            self.end_attempt(name, seen, self.draw.draw(st.sampled_from(failures)))
+            self.end_attempt(request_id, tracked, self.draw.draw(st.sampled_from(failures)))
 
     def establish(self, in_flight: InFlight) -> None:
         if in_flight:
-            name, seen = self.draw.draw(st.sampled_from(in_flight))
-            seen.in_flight = False
-            seen.established = True
-            attempt = len(seen.attempts) - 1
-            self.check(self.harness.handle(AttemptEstablished(name, attempt, seen.attempts[-1].server, 5)))
+            request_id, tracked = self.draw.draw(st.sampled_from(in_flight))
+            tracked.is_in_flight = False
+            tracked.is_established = True
+            attempt = len(tracked.attempts) - 1
+            self.check(self.harness.handle(AttemptEstablished(request_id, attempt, tracked.attempts[-1].server, 5)))
 
     def check_health(self, _: InFlight) -> None:
         pick = self.draw.draw
         status = pick(st.sampled_from([AttemptStatus.DELIVERED, AttemptStatus.DELIVERED, AttemptStatus.EXPIRED]))
-        row = (pick(NUMBER | st.none()), pick(NUMBER | st.none()))
-        self.check(self.harness.handle(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, row)))
+        load_report = (pick(NUMBER | st.none()), pick(NUMBER | st.none()))
+        self.check(self.harness.handle(HealthCheckResult(pick(st.sampled_from(SERVERS)), status, 5, load_report)))
 
     def report_latency(self, _: InFlight) -> None:
-        established = [name for name, seen in self.requests.items() if seen.established and not seen.over]
+        established = [
+            request_id
+            for request_id, tracked in self.requests.items()
+            if tracked.is_established and not tracked.has_ended
+        ]
         if established:
-            name = self.draw.draw(st.sampled_from(established))
-            server = self.requests[name].attempts[-1].server
-            value = self.draw.draw(NUMBER | st.floats(50, 5000))
-            self.check(self.harness.handle(SessionMetric(name, 0, server, SessionMetricKind.DELAY, value)))
+            request_id = self.draw.draw(st.sampled_from(established))
+            server = self.requests[request_id].attempts[-1].server
+            latency_ms = self.draw.draw(NUMBER | st.floats(50, 5000))
+            self.check(self.harness.handle(SessionMetric(request_id, 0, server, SessionMetricKind.DELAY, latency_ms)))
 
     def end_period(self, _: InFlight) -> None:
         self.check(self.harness.advance_period(0))
 
     def disconnect(self, in_flight: InFlight) -> None:
         if in_flight:
-            name, seen = self.draw.draw(st.sampled_from(in_flight))
-            seen.over = True
-            self.check(self.harness.handle(ClientDisconnected(name)))
+            request_id, tracked = self.draw.draw(st.sampled_from(in_flight))
+            tracked.has_ended = True
+            self.check(self.harness.handle(ClientDisconnected(request_id)))
 
     def change_list(self, _: InFlight) -> None:
         name = self.draw.draw(st.sampled_from(SERVERS))
         lifecycle = self.draw.draw(st.sampled_from(list(Lifecycle)))
         started_us = self.draw.draw(st.sampled_from([0, self.harness.now_us]))
-        old = self.entries[name]
-        entry = Endpoint(name, lifecycle, old.zone, old.cell, started_us=started_us)
-        self.entries[name] = entry
+        previous = self.endpoints[name]
+        endpoint = Endpoint(name, lifecycle, previous.zone, previous.cell, started_us=started_us)
+        self.endpoints[name] = endpoint
         if lifecycle is Lifecycle.ACTIVE:
-            self.down_us.pop(name, None)
+            self.inactive_since_us.pop(name, None)
         else:
-            self.down_us.setdefault(name, self.harness.now_us)
-        self.check(self.harness.update_endpoints(entry, kind=EndpointUpdateKind.DELTA))
-
-    def end_attempt(self, name: str, seen: Seen, status: AttemptStatus) -> None:
-        sent = seen.attempts[-1]
-        seen.in_flight = False
-        if status not in NEVER_RAN and seen.first_run is None:
-            old = self.entries[sent.server]
-            seen.first_run = (old, self.sent_us(sent, seen))
-        final = seen.over
-        attempt = len(seen.attempts) - 1
-        self.check(self.harness.handle(AttemptOutcome(name, attempt, sent.server, status, 5, final)))
-
-    def sent_us(self, sent: Send, seen: Seen) -> int:
-        # The latest time at which it can have been sent is what the window is checked against.
-        return min(sent.deadline_us, self.harness.now_us, seen.deadline_us)
+            self.inactive_since_us.setdefault(name, self.harness.now_us)
+        self.check(self.harness.update_endpoints(endpoint, kind=EndpointUpdateKind.DELTA))
+
+    def end_attempt(self, request_id: str, tracked: TrackedRequest, status: AttemptStatus) -> None:
+        send = tracked.attempts[-1]
+        tracked.is_in_flight = False
+        if status not in NEVER_RAN and tracked.first_run is None:
+            endpoint = self.endpoints[send.server]
+            tracked.first_run = (endpoint, self.latest_sent_us(send, tracked))
+        is_final = tracked.has_ended
+        attempt = len(tracked.attempts) - 1
+        self.check(self.harness.handle(AttemptOutcome(request_id, attempt, send.server, status, 5, is_final)))
+
+    def latest_sent_us(self, send: Send, tracked: TrackedRequest) -> int:
+        # The window is checked against the latest time at which the request can have been sent.
+        return min(send.deadline_us, self.harness.now_us, tracked.deadline_us)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Decisions that hold from one balancer with a few servers to hundreds with many."""
+"""Decisions at any scale, from one balancer with a few servers to hundreds with many."""
 
 from __future__ import annotations
 
@@ -29,37 +29,37 @@
 from tests.balancer_harness import SECOND, T0, BalancerHarness, settings
 
 
-def large(rank: int = 0, balancers: int = 200, servers: int = 90, **changes: object) -> BalancerHarness:
+def one_of_many_balancers(rank: int = 0, balancers: int = 200, servers: int = 90, **changes: object) -> BalancerHarness:
     harness = BalancerHarness(settings(balancers=balancers, rank=rank, **changes), seed=rank)
     harness.update_endpoints(*(Endpoint(f"s{index}", zone=index % 3) for index in range(servers)))
     return harness
 
 
-def test_health_checks_follow_the_clients_and_the_price_not_the_fleet() -> None:
-    # Guards against balancers x servers health checks a second: 0.5 of the service on a fleet of 235 x 81.
-    harness = large(probe_price=0.002)
+def test_the_number_of_health_checks_depends_on_clients_and_price_not_on_the_fleet() -> None:
+    # Guards against a check of every server by every balancer each second: with 235 x 81 it cost 0.5 of the service.
+    harness = one_of_many_balancers(probe_price=0.002)
     checks = len(harness.actions_of(CheckHealth))
     for _ in range(60):
         for _ in range(2):
             harness.request()
         harness.advance_period()
         checks += len(harness.actions_of(CheckHealth))
-    assert 60 <= checks <= 60 * 2 * 6  # 0.01 / 0.002 for each client, and a few at the start
+    assert 60 <= checks <= 60 * 2 * 6  # 0.01 / 0.002 for each client, plus a few at the start
 
 
 def test_health_checks_reach_every_server() -> None:
-    harness = large(probe_price=0.002, servers=30)
-    seen = Counter(check.server for check in harness.actions_of(CheckHealth))
+    harness = one_of_many_balancers(probe_price=0.002, servers=30)
+    checks = Counter(check.server for check in harness.actions_of(CheckHealth))
     for _ in range(100):
         harness.request()
         harness.advance_period()
-        seen.update(check.server for check in harness.actions_of(CheckHealth))
-    assert len(seen) == 30
-    assert min(seen.values()) >= 2
+        checks.update(check.server for check in harness.actions_of(CheckHealth))
+    assert len(checks) == 30
+    assert min(checks.values()) >= 2
 
 
-def test_a_fleet_without_clients_is_checked_little() -> None:
-    harness = large(probe_price=0.002)
+def test_a_fleet_without_clients_is_checked_rarely() -> None:
+    harness = one_of_many_balancers(probe_price=0.002)
     count = 0
     for _ in range(40):
         harness.advance_period()
@@ -69,33 +69,33 @@
 
 @pytest.mark.parametrize("servers", [20, 200, 2_000])
 def test_a_decision_examines_few_servers(servers: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against days cut off for CPU: every server was ranked for each client that came.
+    # Guards against simulated days that are cut off for their CPU time: every server was ranked for each request.
     examined = 0
     expected_load = LoadEstimator.expected_load
 
-    def counted(estimator: LoadEstimator, server: ServerState, added_units: float, now_us: int) -> float:
+    def counted_expected_load(estimator: LoadEstimator, server: ServerState, added_units: float, now_us: int) -> float:
         nonlocal examined
         examined += 1
         return expected_load(estimator, server, added_units, now_us)
 
-    harness = large(servers=servers)
+    harness = one_of_many_balancers(servers=servers)
     for index in range(servers):
         harness.report(f"s{index}", 0.99, 50)
-    monkeypatch.setattr(LoadEstimator, "expected_load", counted)
+    monkeypatch.setattr(LoadEstimator, "expected_load", counted_expected_load)
     harness.request()
     assert harness.actions_of(Reject)
     assert 0 < examined <= 24
 
 
-def test_the_live_weight_gives_n_where_no_report_does() -> None:
+def test_the_live_weight_gives_n_if_no_report_does() -> None:
     harness = BalancerHarness(settings(live_weights=True))
-    entries = [Endpoint(name, weight=0.1) for name in ("a", "b", "c")]
-    harness.update_endpoints(*entries)
+    endpoints = [Endpoint(name, weight=0.1) for name in ("a", "b", "c")]
+    harness.update_endpoints(*endpoints)
     harness.report("a", 0.40, 40)
     harness.report("b", 0.40, 40)
     harness.report("c", 0.40, 40)
     harness.now_us += 10 * SECOND
-    # Half the weight: twice the connections. c has emptied meanwhile.
+    # Half the weight means twice the connections. c has become almost empty.
     weights = {"a": 0.05, "b": 0.05, "c": 0.4}
     harness.update_endpoints(
         *(Endpoint(name, weight=weight) for name, weight in weights.items()), kind=EndpointUpdateKind.DELTA
@@ -121,10 +121,10 @@
 
 
 def test_many_balancers_do_not_herd_onto_one_server() -> None:
-    # Guards against all balancers sending to the one server that their late picture shows lowest.
+    # Guards against all balancers sending to the one server that has the lowest load in their delayed reports.
     sent = Counter()  # type: Counter[str | None]
     for rank in range(60):
-        harness = large(rank=rank, balancers=60, servers=30)
+        harness = one_of_many_balancers(rank=rank, balancers=60, servers=30)
         for index in range(30):
             harness.report(f"s{index}", 0.30 + 0.001 * index, 30)
         harness.request()
@@ -133,7 +133,7 @@
 
 
 def test_one_late_message_each_migrates_a_tenth_over_many_balancers() -> None:
-    # Guards against a burst of migrations: one connection each at least was every connection there was.
+    # Guards against a burst of migrations: when each balancer migrated at least one connection, the server lost all.
     migrations = 0
     for rank in range(200):
         harness = BalancerHarness(settings(balancers=200, rank=rank), seed=rank)
@@ -149,8 +149,8 @@
     assert 5 <= migrations <= 45
 
 
-def test_clients_of_a_draining_server_are_expected_from_peers_too() -> None:
-    # Guards against 50 more on every server in a deploy: migrated and placed anew cancelled out.
+def test_clients_of_a_draining_server_are_expected_at_the_peers_as_well() -> None:
+    # Guards against 50 connections too many on every server in a deployment, when migrations offset new placements.
     def admitted(status: AttemptStatus) -> int:
         harness = BalancerHarness(settings(balancers=10))
         harness.update_endpoints(Endpoint("a"), Endpoint("old"))
@@ -174,20 +174,22 @@
     assert admitted(AttemptStatus.REVOKED) < admitted(AttemptStatus.DELIVERED)
 
 
-def sends_to_starting_server(balancers: int, seconds: int, each_s: float, **changes: object) -> list[tuple[int, float]]:
-    """All balancers together fill a server that just started, one after the other in small steps."""
+def sends_to_starting_server(
+    balancers: int, seconds: int, requests_per_s: float, **changes: object
+) -> list[tuple[int, float]]:
+    """Return time and load units of the requests that all balancers, in turn, send to a server that just started."""
     harnesses = []
     for rank in range(balancers):
         harness = BalancerHarness(settings(balancers=balancers, rank=rank, **changes), seed=rank)
         harness.update_endpoints(Endpoint("old"), Endpoint("young", started_us=T0))
-        harness.report("old", 1.0, 50)  # r = 0.02: a full server holds 50 connections
+        harness.report("old", 1.0, 50)  # r = 0.02: a full server has 50 connections
         harnesses.append(harness)
     sends = []
-    steps = int(seconds * each_s)
+    steps = int(seconds * requests_per_s)
     for step in range(steps):
         for rank, harness in enumerate(harnesses):
-            harness.now_us = T0 + int((step + rank / balancers) * SECOND / each_s)
-            if step and step % int(max(1, each_s)) == 0:
+            harness.now_us = T0 + int((step + rank / balancers) * SECOND / requests_per_s)
+            if step and step % int(max(1, requests_per_s)) == 0:
                 harness.advance_period(0)
                 harness.report("old", 1.0, 50)
             harness.request()
@@ -196,33 +198,33 @@
     return sorted(sends)
 
 
-@pytest.mark.parametrize(("balancers", "each_s"), [(1, 40.0), (4, 10.0), (40, 2.0), (160, 1.0)])
-def test_a_slow_start_budget_is_kept_and_used_at_any_size(balancers: int, each_s: float) -> None:
-    # Guards against new servers that stay empty while the fleet grows: a part under one connection was none.
-    sends = sends_to_starting_server(balancers, 10, each_s)
+@pytest.mark.parametrize(("balancers", "requests_per_s"), [(1, 40.0), (4, 10.0), (40, 2.0), (160, 1.0)])
+def test_a_slow_start_budget_is_kept_and_used_at_any_size(balancers: int, requests_per_s: float) -> None:
+    # Guards against new servers that stay empty as the fleet grows: a share of under one connection went unused.
+    sends = sends_to_starting_server(balancers, 10, requests_per_s)
     for start_us, _ in sends:
         sent = sum(units for at_us, units in sends if start_us <= at_us < start_us + SECOND)
         warm_up_fraction = 0.2 + 0.8 * (start_us - T0) / (10 * SECOND)
-        # A few charge a set-up and a second of load, many the load of the whole warm-up.
-        unit = SETUP_US / SECOND + 0.02 if balancers <= MANY_BALANCERS_THRESHOLD else 10 / 50
-        assert sent * unit <= 3.0 * warm_up_fraction + 3 * unit  # a little slack for chance
+        # Few balancers charge a set-up and one second of load, many the load of the whole warm-up.
+        unit_cost = SETUP_US / SECOND + 0.02 if balancers <= MANY_BALANCERS_THRESHOLD else 10 / 50
+        assert sent * unit_cost <= 3.0 * warm_up_fraction + 3 * unit_cost  # some tolerance for randomness
     assert len(sends) >= 15
 
 
 def test_few_requests_at_each_of_forty_fill_a_starting_server_within_its_budget() -> None:
-    # Guards against new servers that stay empty among 40 proxies: the one whose rank it was saw a request in
-    # seconds, while all others rejected theirs.
+    # Guards against new servers that stay empty with 40 proxies: the one whose turn it was received a request only
+    # every few seconds, while all others rejected theirs.
     changes = {"cold_us": 24 * SECOND, "cold_from": 0.13, "fall_multiple": 4.0, "groups": True}
     sends = sends_to_starting_server(40, 16, 0.25, **changes)
-    assert len(sends) >= 20  # by turns: 5
+    assert len(sends) >= 20  # 5 when the proxies took turns
     for start_us, _ in sends:
         sent = sum(start_us <= at_us < start_us + SECOND for at_us, _ in sends)
-        most = 4.0 * (0.13 + 0.87 * (start_us - T0) / (24 * SECOND)) * 50 / 24
-        assert sent <= most + 2.5 * most**0.5  # all proxies see a request by chance
+        budget = 4.0 * (0.13 + 0.87 * (start_us - T0) / (24 * SECOND)) * 50 / 24
+        assert sent <= budget + 2.5 * budget**0.5  # requests arrive at random over all proxies
 
 
 def test_a_burst_at_all_of_forty_uses_one_slot_each_at_most() -> None:
-    # Every proxy has had no request for long, then all have many within one second.
+    # No proxy receives a request for a long time, then all receive many within one second.
     sent = 0
     for rank in range(40):
         harness = BalancerHarness(settings(balancers=40, rank=rank), seed=rank)
@@ -232,21 +234,21 @@
         for _ in range(10):
             harness.request()
             sent += harness.sent_to() == "young"
-    assert 10 <= sent <= 40  # one each at most, however many ask
+    assert 10 <= sent <= 40  # at most one each, however many requests arrive
 
 
 def test_steady_requests_at_all_of_forty_are_admitted_evenly() -> None:
-    # Guards against proxies that each keep the budget on average and break it together by chance.
+    # Guards against proxies that each keep the budget on average, but exceed it together at random.
     sends = sends_to_starting_server(40, 8, 8.0)
-    late = [at_us for at_us, _ in sends if at_us > T0 + 2 * SECOND]
-    assert late
-    for start_us in late:
-        sent = sum(start_us <= at_us < start_us + SECOND for at_us in late)
+    later_sends = [at_us for at_us, _ in sends if at_us > T0 + 2 * SECOND]
+    assert later_sends
+    for start_us in later_sends:
+        sent = sum(start_us <= at_us < start_us + SECOND for at_us in later_sends)
         assert sent <= 3.0 * (0.2 + 0.8 * (start_us + SECOND - T0) / (10 * SECOND)) * 50 / 10 + 3
 
 
-def test_a_heavy_connection_is_sent_to_a_server_that_is_warm_enough() -> None:
-    # Guards against heavy connections, of the most priority there, never sent to new servers.
+def test_a_heavy_connection_is_sent_to_a_server_that_has_warmed_up_enough() -> None:
+    # Guards against heavy connections, which have the highest priority, that are never sent to new servers.
     harness = BalancerHarness(settings(balancers=3))
     harness.update_endpoints(Endpoint("old"), Endpoint("young", started_us=T0))
     harness.report("old", 1.0, 60)
@@ -258,11 +260,11 @@
         heavy = ConnectionState(Request("heavy", request_class=0, time_left_us=SECOND), harness.now_us + SECOND, 4.0)
         has_capacity.append(harness.context.has_slow_start_capacity(starting, heavy))
     assert any(has_capacity)
-    assert not any(has_capacity[:5])  # at its start it would be overloaded
+    assert not any(has_capacity[:5])  # just after its start the server would be overloaded
 
 
 def test_endpoint_lists_that_grow_and_shrink_tenfold_at_once() -> None:
-    harness = large(servers=20)
+    harness = one_of_many_balancers(servers=20)
     for index in range(20):
         harness.report(f"s{index}", 0.30, 30)
     harness.update_endpoints(*(Endpoint(f"s{index}", zone=index % 3) for index in range(200)))
@@ -270,7 +272,7 @@
     assert harness.actions_of(Send)
     harness.update_endpoints(*(Endpoint(f"s{index}", zone=index % 3) for index in range(2)))
     harness.advance_period()
-    harness.advance_period()  # what peers may have placed is shown by now
+    harness.advance_period()  # placements by peers are included in reports by now
     harness.request()
     assert harness.sent_to() in ("s0", "s1")
     harness.update_endpoints()
@@ -284,7 +286,7 @@
 
 
 @pytest.mark.parametrize(("balancers", "rank"), [(1, 500), (3, 3), (250, 10**6)])
-def test_a_rank_beyond_the_count_still_serves(balancers: int, rank: int) -> None:
+def test_a_rank_beyond_the_number_of_balancers_still_serves(balancers: int, rank: int) -> None:
     harness = BalancerHarness(settings(balancers=balancers, rank=rank))
     harness.update_endpoints(Endpoint("a"), Endpoint("b", started_us=T0))
     harness.report("a", 0.30, 30)
@@ -293,8 +295,8 @@
 
 
 def test_few_failures_narrow_the_setup_window_of_a_balancer_with_few_clients() -> None:
-    # Guards against a slow store met by 4 set-ups each of 211 balancers: 73% of the attempts failed.
-    harness = large(balancers=200)
+    # Guards against 4 concurrent set-ups of each of 211 balancers while the store is slow: 73% of the attempts failed.
+    harness = one_of_many_balancers(balancers=200)
     for index in range(90):
         harness.report(f"s{index}", 0.20, 20)
     for index in range(2):
@@ -310,7 +312,7 @@
 
 
 def test_a_server_that_drains_gets_no_request_before_the_list_shows_it() -> None:
-    # Guards against clients of a drained server sent back to it for the seconds that the list is late.
+    # Guards against clients of a draining server sent back to it during the seconds until the list shows the drain.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0, c=0)
     harness.report("a", 0.10, 10)
@@ -326,26 +328,26 @@
         assert harness.sent_to() in ("b", "c")
     harness.advance_period(5)
     harness.request()
-    assert harness.sent_to() == "a"  # the list never showed that it drains
+    assert harness.sent_to() == "a"  # the list never showed a drain
 
 
-def with_old_reports() -> BalancerHarness:
-    """One of 200 balancers that has reports of every server while all were empty, and none since."""
-    harness = large(servers=30)
+def balancer_with_outdated_reports() -> BalancerHarness:
+    """Return one of 200 balancers whose last reports of all servers are from when they were empty."""
+    harness = one_of_many_balancers(servers=30)
     for index in range(30):
         harness.report(f"s{index}", 0.0, 0)
     harness.advance_period(5)
-    for index in range(30):  # what they report when checked: those of odd number are full
-        full = index % 2 == 1
+    for index in range(30):  # what they report when checked: those with odd numbers are full
+        is_full = index % 2 == 1
         harness.health_check_results[f"s{index}"] = HealthCheckResult(
-            f"s{index}", AttemptStatus.DELIVERED, 1_000, (0.95 if full else 0.3, 40.0)
+            f"s{index}", AttemptStatus.DELIVERED, 1_000, (0.95 if is_full else 0.3, 40.0)
         )
     return harness
 
 
 def test_a_request_is_placed_by_its_own_health_checks_not_by_old_reports() -> None:
-    # Guards against 380 clients put in a second on servers that were empty when they last reported, 11 s before.
-    harness = with_old_reports()
+    # Guards against 380 clients sent within a second to servers that were empty when they last reported, 11 s before.
+    harness = balancer_with_outdated_reports()
     for _ in range(12):
         harness.request()
         server = harness.sent_to()
@@ -355,23 +357,23 @@
         harness.advance_period(0)
 
 
-def test_a_request_waits_for_unresponsive_servers_a_tenth_of_a_second_at_most() -> None:
-    harness = with_old_reports()
+def test_a_request_waits_for_unresponsive_servers_for_at_most_a_tenth_of_a_second() -> None:
+    harness = balancer_with_outdated_reports()
     actions = harness.handle(Request("a" * 16, 0, 2 * SECOND))
     assert not harness.actions_of(Send)
     timer = harness.actions_of(SetTimer)[0]
     assert timer.at_us - harness.now_us == 100_000
-    for _ in range(2):  # nobody answers, nor in the second round: old reports are used
+    for _ in range(2):  # no server answers in either round: the outdated reports are used
         harness.now_us = timer.at_us
         actions = harness.handle(TimerExpired(timer.token))
         timer = harness.actions_of(SetTimer)[0] if harness.actions_of(SetTimer) else timer
     assert harness.actions_of(Send)
     assert actions
-    assert harness.handle(TimerExpired(timer.token)) == []  # a timer of a wait that is over does nothing
+    assert harness.handle(TimerExpired(timer.token)) == []  # the timer of a wait that has ended does nothing
 
 
-def test_a_client_that_disconnects_while_it_waits_is_forgotten() -> None:
-    harness = with_old_reports()
+def test_a_client_that_disconnects_while_it_waits_is_removed() -> None:
+    harness = balancer_with_outdated_reports()
     harness.handle(Request("a" * 16, 0, 2 * SECOND))
     checks = harness.actions_of(CheckHealth)
     harness.handle(ClientDisconnected("a" * 16))
@@ -381,9 +383,9 @@
         assert not harness.actions_of(Send)
 
 
-def test_clients_cut_off_are_expected_at_the_remaining_servers() -> None:
-    # Guards against 17 servers' clients put on the 24 remaining within half a second: n went from 26 to 38.
-    harness = large(servers=24)
+def test_clients_that_lost_their_server_are_expected_at_the_remaining_ones() -> None:
+    # Guards against the clients of 17 servers sent to the remaining 24 within half a second: n rose from 26 to 38.
+    harness = one_of_many_balancers(servers=24)
     for index in range(24):
         harness.report(f"s{index}", 0.55, 26)
     established = []
@@ -392,7 +394,7 @@
         established.append((f"{index:016x}", str(harness.sent_to())))
         harness.establish(*established[-1])
     harness.advance_period(2)
-    harness.advance_period(2)  # they were placed too long ago to count as news
+    harness.advance_period(2)  # they were placed too long ago to count as recent placements
     for index in range(24):
         harness.report(f"s{index}", 0.55, 26)
     harness.request()
