--- a/stoatgw/decisions/health_checking.py
+++ b/stoatgw/decisions/health_checking.py
@@ -6,7 +6,7 @@
 from stoatgw.decisions.server_selection import RECENT_REPORT_US, draw, draw_recently_reported, may_attempt
 from stoatgw.decisions.state import ConnectionState, DecisionContext, ServerHealth, ServerState
 
-MAX_COST_FRACTION = 0.01  # fraction of the cost of service that health checks may cost
+MAX_COST_FRACTION = 0.01  # fraction of the service that health checks may cost
 INITIAL_CHECKS = 8
 MIN_CHECKS_PER_PERIOD = 0.25  # even without any clients
 LOCAL_ZONE_FACTOR = 3.0  # servers in the own zone are checked this many times as often
