--- a/stoatgw/clients/attempt_runner.py
+++ b/stoatgw/clients/attempt_runner.py
@@ -55,9 +55,9 @@
         self._task: asyncio.Task[None] | None = None
         self._last_begun = -1  # number of the last attempt whose task ran at all
 
-    def run_in_place(self, restoring: Coroutine[Any, Any, None]) -> None:
+    def start_restore(self, restore: Coroutine[Any, Any, None]) -> None:
         """Runs the restoring of a session in place of attempts."""
-        self._task = asyncio.get_running_loop().create_task(restoring)
+        self._task = asyncio.get_running_loop().create_task(restore)
 
     def start(self, number: int, server: str, deadline_us: int) -> None:
         """Starts an attempt, which begins once the one before it is over; its end is posted in any case."""
--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -54,7 +54,7 @@
         """Gives the open connections of the session."""
         ...
 
-    def end_if_blocked_client_broke(self) -> None:
+    def end_if_blocked_client_reset(self) -> None:
         """Ends the session of a client that has reset its connection while its server takes nothing."""
         ...
 
@@ -98,12 +98,12 @@
         load_report_row: Turns a server's load report into the columns that the settings name.
         counters: Counted by whoever sees the event.
         log: Written by whoever sees the event.
-        flood_log: The same log, for events that bad clients could cause without limit.
+        rate_limited_log: The same log, for events that bad clients could cause without limit.
         descriptor_limiter: Owned by this package; hot restart exchanges the figures of sibling processes through it.
         request_ids: Owned by this package: request readers register ids, sessions mark them as ended.
         established_sessions: By request id. Owned by this package: an attempt adds its session and removes it again;
             the session monitor, maintenance and management only read it.
-        restoring: Requests whose sessions are still to be restored, by id; each is called to reject its request.
+        pending_restores: Requests whose sessions are still to be restored, by id; each is called to reject its request.
         lifecycle: Changed by the service on signals, and by management and maintenance; sessions only read it.
         class_indexes: The settings' classes by name.
         tenant_indexes: The settings' tenants by name.
@@ -121,19 +121,19 @@
     descriptor_limiter: DescriptorLimiter
     request_ids: RecentIds = field(default_factory=RecentIds)
     established_sessions: dict[str, EstablishedSession] = field(default_factory=dict)
-    restoring: dict[str, Callable[[], None]] = field(default_factory=dict)
+    pending_restores: dict[str, Callable[[], None]] = field(default_factory=dict)
     lifecycle: ProxyLifecycle = field(default_factory=ProxyLifecycle)
     class_indexes: dict[str, int] = field(default_factory=dict)
     tenant_indexes: dict[str, int] = field(default_factory=dict)
     metrics: RequestMetrics = field(init=False)
     request_field_pattern: re.Pattern[bytes] = field(init=False)
-    flood_log: RateLimitedLog = field(init=False)
+    rate_limited_log: RateLimitedLog = field(init=False)
 
     def __post_init__(self) -> None:
         self.class_indexes = {profile.name: index for index, profile in enumerate(self.deployment.settings.profiles)}
         self.tenant_indexes = {name: index for index, name in enumerate(self.deployment.settings.tenants)}
         self.metrics = RequestMetrics(self.class_indexes)
-        self.flood_log = RateLimitedLog(self.log, self.clock)
+        self.rate_limited_log = RateLimitedLog(self.log, self.clock)
         self.request_field_pattern = field_pattern([*self.class_indexes, *self.tenant_indexes])
 
     @property
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -7,7 +7,7 @@
 
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.session import ClientSession
-from stoatgw.clients.session_end import reject_connection
+from stoatgw.clients.session_closer import reject_connection
 from stoatgw.config.deployment import Address
 from stoatgw.line_protocol.grammar import encode_busy
 from stoatgw.sockets import socket_state, tcp
@@ -84,7 +84,7 @@
             if error is not None:
                 # EMFILE, ECONNABORTED and the like: open sessions go on.
                 self._context.counters.add("accept_failures")
-                self._context.flood_log.event("accept_failed", error=str(error))
+                self._context.rate_limited_log.event("accept_failed", error=str(error))
                 await asyncio.sleep(tcp.ACCEPT_RETRY_INTERVAL_S)
                 continue
             self._start_session(self._accept_task.result())
@@ -96,7 +96,7 @@
             connection = ClientSession(sock, context).run()
         else:
             context.counters.add("connections_rejected")
-            context.flood_log.event("connection_rejected", why="too few descriptors are left")
+            context.rate_limited_log.event("connection_rejected", why="too few descriptors are left")
             connection = reject_connection(context, sock, encode_busy(0))
         task = asyncio.get_running_loop().create_task(connection)
         self._sessions.add(task)
--- a/stoatgw/clients/migration.py
+++ b/stoatgw/clients/migration.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from stoatgw.clients.session_end import SessionCloser
+from stoatgw.clients.session_closer import SessionCloser
 from stoatgw.clients.session_state import EndReason, SessionEnd
 from stoatgw.controller.messages import RequestState
 from stoatgw.line_protocol.grammar import MOVE
--- a/stoatgw/clients/relay.py
+++ b/stoatgw/clients/relay.py
@@ -10,7 +10,7 @@
 from stoatgw.backends.latency import MessageLatencyTracker
 from stoatgw.clients.context import EstablishedSession, Peer, PeerSide, ProxyContext
 from stoatgw.clients.migration import SessionMigration
-from stoatgw.clients.session_end import LINGER_S, SessionCloser
+from stoatgw.clients.session_closer import LINGER_S, SessionCloser
 from stoatgw.clients.session_state import EndReason, SessionEnd
 from stoatgw.controller.messages import AttemptEnd, RequestState, SessionMetricObserved
 from stoatgw.controller.reasons import MigrationReason
@@ -189,7 +189,7 @@
         was_reset = not isinstance(error, BrokenPipeError)
         self._closer.finish(SessionEnd(EndReason.CLIENT_DISCONNECTED, was_reset=was_reset, why=str(error)))
 
-    def end_if_blocked_client_broke(self) -> None:
+    def end_if_blocked_client_reset(self) -> None:
         """Ends the session of a client that has reset its connection while its server takes nothing.
 
         The client is not read meanwhile, and the loop cannot watch a socket with unread bytes for a reset alone.
--- a/stoatgw/clients/request_handler.py
+++ b/stoatgw/clients/request_handler.py
@@ -9,7 +9,7 @@
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.relay import Relay
 from stoatgw.clients.served_request import ServedRequest
-from stoatgw.clients.session_end import LINGER_S, SessionCloser
+from stoatgw.clients.session_closer import LINGER_S, SessionCloser
 from stoatgw.clients.session_restore import SessionRestorer
 from stoatgw.clients.session_state import EndReason, SessionEnd
 from stoatgw.controller.messages import ClientDisconnected, RequestReceived, RequestState
@@ -110,7 +110,7 @@
     def _start(self) -> None:
         if self._request.previous_server is not None:
             self._context.counters.add("requests_restored")
-            self._attempts.run_in_place(SessionRestorer(self._served, self._request.previous_server).run())
+            self._attempts.start_restore(SessionRestorer(self._served, self._request.previous_server).run())
         else:
             self._context.counters.add("requests")
             self._context.controller.post(RequestReceived(self._request_state))
--- a/stoatgw/clients/served_request.py
+++ b/stoatgw/clients/served_request.py
@@ -9,7 +9,7 @@
 from stoatgw.backends.backend import Backend
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.relay import Relay
-from stoatgw.clients.session_end import SessionCloser
+from stoatgw.clients.session_closer import SessionCloser
 from stoatgw.clients.session_state import EndReason, SessionEnd
 from stoatgw.controller.messages import AttemptEnd, AttemptEnded, RequestState
 from stoatgw.line_protocol.grammar import SessionRequest
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -7,7 +7,7 @@
 from stoatgw.clients.context import ProxyContext
 from stoatgw.clients.request_handler import SessionRequestHandler
 from stoatgw.clients.request_reader import RequestReader
-from stoatgw.clients.session_end import ANSWERED_LINGER_S, SessionCloser, reject_connection
+from stoatgw.clients.session_closer import ANSWERED_LINGER_S, SessionCloser, reject_connection
 from stoatgw.line_protocol.grammar import MalformedRequest, SessionRequest, encode_busy, encode_error
 from stoatgw.sockets import tcp
 from stoatgw.telemetry.metrics import RequestOutcome
@@ -47,7 +47,7 @@
             await self._read_and_serve()
         except OSError as error:
             self._context.counters.add("sessions_broken")
-            self._context.flood_log.event("connection_broken", id=self._request_id, why=str(error))
+            self._context.rate_limited_log.event("connection_broken", id=self._request_id, why=str(error))
         except Exception as error:
             self._context.counters.add("sessions_crashed")
             if self._handler is not None:
@@ -64,13 +64,13 @@
         request = await self._read_request()
         if request is None:
             if self._closed_reason:
-                self._context.flood_log.event("connection_closed", why=self._closed_reason)
+                self._context.rate_limited_log.event("connection_closed", why=self._closed_reason)
             # BUSY: a request that crosses it on the way has its answer, and may be sent again.
             await reject_connection(self._context, self._sock, encode_busy(0))
         elif isinstance(request, MalformedRequest):
             self._context.counters.add("requests_malformed")
             self._context.metrics.record_outcome(request.class_name, RequestOutcome.ERROR)
-            self._context.flood_log.event("request_malformed", why=request.reason)
+            self._context.rate_limited_log.event("request_malformed", why=request.reason)
             await reject_connection(self._context, self._sock, encode_error(request.reason))
         else:
             self._request = request
--- a/stoatgw/clients/session_monitor.py
+++ b/stoatgw/clients/session_monitor.py
@@ -6,7 +6,7 @@
 
 from stoatgw.backends.latency import current_latency_ms
 from stoatgw.clients.context import ProxyContext
-from stoatgw.clients.unread_ends import UnreadEndDetector
+from stoatgw.clients.unread_eof import UnreadEofDetector
 from stoatgw.controller.messages import SessionMetricObserved
 from stoatgw.decisions.interface import SessionMetricKind
 
@@ -29,7 +29,7 @@
         objectives_us = [profile.message_aim_us for profile in context.deployment.settings.profiles]
         self._reported_from_ms = min(objectives_us) / 1000 / REPORTED_OBJECTIVE_DIVISOR
         self._reported_servers: set[str] = set()  # in the last round that reported
-        self._unread_ends = UnreadEndDetector(context)
+        self._unread_ends = UnreadEofDetector(context)
 
     async def run(self) -> None:
         """Checks all sessions at each interval, for good."""
@@ -50,7 +50,7 @@
         """Abandons the servers of sessions with a line that is unanswered for too long; may report latencies."""
         now_us = self._context.clock.now_us()
         for session in list(self._context.established_sessions.values()):
-            session.relay.end_if_blocked_client_broke()
+            session.relay.end_if_blocked_client_reset()
             if session.session_state.is_sending:
                 # The client takes nothing, so its server is not read: what it has answered by now is not known.
                 session.latency.pending.clear()
--- a/stoatgw/clients/session_restore.py
+++ b/stoatgw/clients/session_restore.py
@@ -32,7 +32,7 @@
     async def run(self) -> None:
         """Connects, relays the session until it ends, and reports what came of it."""
         served = self._served
-        served.context.restoring[served.request.request_id] = self._reject
+        served.context.pending_restores[served.request.request_id] = self._reject
         try:
             attempt = await self._establish()
             if attempt is not None:
@@ -88,7 +88,7 @@
         self._end = await attempt.open(lambda _: served.request.line + b"\r\n", deadline_us)
         if self._end is None:
             self._is_established = True
-            served.context.restoring.pop(served.request.request_id, None)
+            served.context.pending_restores.pop(served.request.request_id, None)
             served.context.controller.post(SessionRestored(served.request_state, self._server))
         else:
             served.close_attempt(attempt)
@@ -96,7 +96,7 @@
 
     def _finish(self) -> None:
         served = self._served
-        served.context.restoring.pop(served.request.request_id, None)
+        served.context.pending_restores.pop(served.request.request_id, None)
         if self._attempt is not None:
             served.close_attempt(self._attempt)
         if self._is_established:
--- a/stoatgw/clients/unread_ends.py
+++ b/stoatgw/clients/unread_eof.py
@@ -8,10 +8,10 @@
 from stoatgw.clients.context import EstablishedSession, PeerSide, ProxyContext
 
 END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-UnreadEnd = tuple[str, PeerSide]  # a request's id, and whose end it is
+UnreadEof = tuple[str, PeerSide]  # a request's id, and whose end it is
 
 
-class UnreadEndDetector:
+class UnreadEofDetector:
     """Logs each session with an end that two checks in a row have found unread.
 
     An end is read as soon as it comes, unless the bytes before it wait for the other side to take them. Whatever else
@@ -21,7 +21,7 @@
     def __init__(self, context: ProxyContext) -> None:
         """Starts with nothing found."""
         self._context = context
-        self._found: set[UnreadEnd] = set()  # in the last check
+        self._found: set[UnreadEof] = set()  # in the last check
 
     def check(self) -> None:
         """Checks all established sessions, with one system call."""
@@ -32,9 +32,9 @@
             self._context.log.event("end_unread", id=request_id, side=side.value, backend=session.server)
         self._found = found
 
-    def _find(self) -> Iterator[UnreadEnd]:
+    def _find(self) -> Iterator[UnreadEof]:
         poll = select.poll()
-        ends: dict[int, UnreadEnd] = {}
+        ends: dict[int, UnreadEof] = {}
         for request_id, session in self._context.established_sessions.items():
             for descriptor, side in _read_descriptors(session):
                 ends[descriptor] = (request_id, side)
--- a/stoatgw/service/shutdown.py
+++ b/stoatgw/service/shutdown.py
@@ -62,7 +62,7 @@
     whose server has not completed its line.
     """
     core.context.descriptor_limiter.evict_all()
-    for reject in list(core.context.restoring.values()):
+    for reject in list(core.context.pending_restores.values()):
         reject()
     for session in list(core.context.established_sessions.values()):
         session.relay.migrate_now()
--- a/tests/peer_ends.py
+++ b/tests/peer_disconnect_rig.py
@@ -174,7 +174,7 @@
             yield f"was passed on as {'a reset' if self.was_reset else 'an end'}"
 
 
-class PeerEndRig(ProxyRig):
+class PeerDisconnectRig(ProxyRig):
     """Session servers and clients that do as their case says."""
 
     def __init__(self, folder: Path) -> None:
--- a/tests/test_log_reasons.py
+++ b/tests/test_log_reasons.py
@@ -11,7 +11,7 @@
 import pytest
 
 from stoatgw.clients.context import PeerSide
-from stoatgw.clients.unread_ends import UnreadEndDetector
+from stoatgw.clients.unread_eof import UnreadEofDetector
 from stoatgw.sockets import tcp
 from stoatgw.telemetry.log import EventLog
 from tests.test_sessions import OPEN, LoopbackProxy, run_loopback, serve_echo
@@ -133,7 +133,7 @@
 
         monkeypatch.setattr(tcp, "receive", receive_late)
         may_read.set()
-        detector = UnreadEndDetector(proxy.context)
+        detector = UnreadEofDetector(proxy.context)
         async with established_session(proxy) as writer:
             may_read.clear()
             writer.write(b"line\r\n")
@@ -152,7 +152,7 @@
 
 def test_sessions_whose_ends_are_read_are_not_logged(events: Events) -> None:
     async def test(proxy: LoopbackProxy) -> None:
-        detector = UnreadEndDetector(proxy.context)
+        detector = UnreadEofDetector(proxy.context)
         async with established_session(proxy):
             for _ in range(3):
                 detector.check()
--- a/tests/test_peer_ends.py
+++ b/tests/test_peer_disconnects.py
@@ -25,7 +25,7 @@
 
 import pytest
 
-from tests.peer_ends import PeerEndRig
+from tests.peer_disconnect_rig import PeerDisconnectRig
 
 SERVER_NAMES = [f"s-{number}" for number in range(8)]
 FREQUENT_MONITOR_INTERVAL_S = "0.002"  # a call that fails once is repeated after 20 ms
@@ -35,7 +35,7 @@
     """Plays all cases with one call that fails once on each connection; what was wrong."""
 
     async def test() -> list[str]:
-        rig = PeerEndRig(folder)
+        rig = PeerDisconnectRig(folder)
         await rig.start_services(SERVER_NAMES)
         async with rig.running():
             process, _ = await rig.start_process(["tests.failing_calls", failing_call, *options])
--- a/tests/test_session_ends.py
+++ b/tests/test_session_ends.py
@@ -21,7 +21,7 @@
 
 import pytest
 
-from tests.session_ends import SERVER_NAMES, ConversationRig, conversation_rig
+from tests.conversation_rig import SERVER_NAMES, ConversationRig, conversation_rig
 
 SESSIONS = 48
 
--- a/tests/test_session_crossings.py
+++ b/tests/test_session_races.py
@@ -211,7 +211,7 @@
         reader, writer = await proxy.open_session()
         assert await reader.readline() == b"UP 77\r\n"
         writer.write(b"first\r\n")
-        await proxy.wait_for_half_a_line()
+        await proxy.wait_for_partial_line()
         proxy.controller.post(BeginDrain(0, 1))
         assert await reader.read() == b"MOVE\r\n"
         writer.close()
@@ -690,11 +690,11 @@
         session = await proxy.open_session()
         assert await session[0].readline() == b"UP 77\r\n"
         session[1].write(b"first\r\n")
-        await proxy.wait_for_half_a_line()
+        await proxy.wait_for_partial_line()
         idle = await proxy.connect()
         proxy.backends._backends.clear()
         restored = await proxy.open_session(b",at=s")
-        while not proxy.context.restoring:
+        while not proxy.context.pending_restores:
             await asyncio.sleep(0.01)
         shutdown._answer_remaining_clients(core_of(proxy))
         for (reader, writer), answer in ((idle, b"BUSY\r\n"), (restored, b"BUSY\r\n"), (session, b"MOVE\r\n")):
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -113,7 +113,7 @@
         assert isinstance(relay, Relay)
         return relay
 
-    async def wait_for_half_a_line(self) -> None:
+    async def wait_for_partial_line(self) -> None:
         """Wait until half a line of the server of the only session has come."""
         while not self.only_relay._server_lines.has_partial_line:
             await asyncio.sleep(0.005)
@@ -236,7 +236,7 @@
         await reader.readline()
         writer.write(b"HALF\r\n")
         session = proxy.context.established_sessions["0000000000000001"]
-        await proxy.wait_for_half_a_line()
+        await proxy.wait_for_partial_line()
         assert not reader._buffer  # type: ignore[attr-defined]  # half a line could not be followed by MOVE
         session.relay.abandon_server()
         writer.write(b"f\r\n")
@@ -485,7 +485,7 @@
     async def test(proxy: LoopbackProxy) -> None:
         abandoned: list[int] = []
         relay: Any = SimpleNamespace(
-            abandon_server=lambda: abandoned.append(1), end_if_blocked_client_broke=lambda: None
+            abandon_server=lambda: abandoned.append(1), end_if_blocked_client_reset=lambda: None
         )
         for silent_us in (0, 1_999_999):
             messages = MessageLatencyTracker()
--- a/tests/test_socket_watches.py
+++ b/tests/test_socket_watches.py
@@ -27,7 +27,7 @@
 from stoatgw.telemetry.log import EventLog
 from tests.failing_calls import FailingSocket, fail_calls
 from tests.test_management import StubManagementApi
-from tests.test_session_crossings import FLOOD
+from tests.test_session_races import FLOOD
 from tests.test_sessions import LoopbackProxy, run_loopback, serve_echo
 
 LONG_TIMEOUT_S = 60.0  # longer than the tests' own timeout
