--- a/stoatgw/clients/attempt_runner.py
+++ b/stoatgw/clients/attempt_runner.py
@@ -1,4 +1,4 @@
-"""Runs the attempts of one request, one at a time, and reports the end of each to the controller."""
+"""Running the attempts of one request, one at a time, and reporting the end of each to the controller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def cancel_and_wait(task: asyncio.Task[None]) -> None:
-    """Cancels a task and waits until it is over; its faults were its own to report."""
+    """Cancel a task and wait until it is done; its exceptions are dropped, as the task itself reports them."""
     if not task.done():
         task.cancel()
         with contextlib.suppress(asyncio.CancelledError, Exception):
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class _AttemptRun:
-    """What the controller asked for, and what has come of it so far."""
+    """An attempt that the controller requested, and its result so far."""
 
     number: int
     server: str
@@ -37,30 +37,30 @@
 
     @property
     def stage(self) -> AttemptStage:
-        """How far it has come."""
+        """How far the attempt has progressed."""
         return self.attempt.stage if self.attempt is not None else AttemptStage.CONNECTING
 
 
 class AttemptRunner:
-    """Owns the task that connects a request to a server, of which one at a time does anything.
+    """Owner of the task that connects a request to a server; a new attempt waits until the previous task is done.
 
     The controller's task starts and cancels attempts; the task of the client's connection calls `stop` once the
-    session has ended. Nobody else cancels the task.
+    session has ended. Nothing else cancels the task.
     """
 
-    __slots__ = ("_last_begun", "_served", "_task")
+    __slots__ = ("_last_run_number", "_served", "_task")
 
     def __init__(self, served: ServedRequest) -> None:
         self._served = served
         self._task: asyncio.Task[None] | None = None
-        self._last_begun = -1  # number of the last attempt whose task ran at all
+        self._last_run_number = -1  # number of the last attempt whose task started to run
 
     def start_restore(self, restore: Coroutine[Any, Any, None]) -> None:
-        """Runs the restoring of a session in place of attempts."""
+        """Run the restoration of a session instead of attempts."""
         self._task = asyncio.get_running_loop().create_task(restore)
 
     def start(self, number: int, server: str, deadline_us: int) -> None:
-        """Starts an attempt, which begins once the one before it is over; its end is posted in any case."""
+        """Start an attempt, which runs once the previous one is over; its end is posted in any case."""
         state = self._served.closer.state
         refused = state.refuse_attempt()
         if refused is not None:
@@ -70,35 +70,35 @@
             self._served.log_event("attempt_retried", backend=server, attempt=number)
         run = _AttemptRun(number, server, deadline_us, state.interrupted_attempt(AttemptStage.CONNECTING))
         self._task = asyncio.get_running_loop().create_task(self._run(run, self._task))
-        self._task.add_done_callback(partial(self._report_never_begun, number))
+        self._task.add_done_callback(partial(self._report_never_run, number))
 
     def cancel(self) -> None:
-        """Cancels the attempt in progress, which still posts its end; one that is established is a session, and stays.
+        """Cancel the attempt in progress, which still posts its end; an established session is left alone.
 
-        The controller may not have learned yet that it is.
+        The controller may not have processed the `AttemptEstablished` message yet.
         """
         if self._task is not None and not self._served.closer.state.is_established:
             self._task.cancel()
 
     async def wait(self, timeout_s: float) -> None:
-        """Waits until the attempt in progress is over by itself, or the timeout."""
+        """Wait until the attempt in progress ends by itself, or until the timeout."""
         if self._task is not None:
             await asyncio.wait([self._task], timeout=timeout_s)
 
     async def stop(self) -> None:
-        """Cancels the attempt in progress, and waits until it is over."""
+        """Cancel the attempt in progress, and wait until it is over."""
         if self._task is not None:
             await cancel_and_wait(self._task)
 
-    def _report_never_begun(self, number: int, _: asyncio.Task[None]) -> None:
-        """Posts the end of an attempt whose task was cancelled before its first step, and so ran no code of its own."""
-        if self._last_begun != number:
-            end = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "never begun")
+    def _report_never_run(self, number: int, _: asyncio.Task[None]) -> None:
+        """Post the end of an attempt whose task was cancelled before its first step, and so ran none of its code."""
+        if self._last_run_number != number:
+            end = AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "cancelled before it ran")
             self._served.post_attempt_end(number, end)
 
     async def _run(self, run: _AttemptRun, previous: asyncio.Task[None] | None) -> None:
         served = self._served
-        self._last_begun = run.number
+        self._last_run_number = run.number
         try:
             if previous is not None and not previous.done():
                 await asyncio.wait([previous])
@@ -120,7 +120,7 @@
             self._finish(run)
 
     async def _establish(self, run: _AttemptRun) -> Attempt | None:
-        """Connects and sends the request; None if that ended the attempt, and `run.end` says how."""
+        """Connect and send the request; return None if the attempt ended, with the result in `run.end`."""
         served = self._served
         backend = served.context.backends.get(run.server)
         if backend is None:
@@ -141,7 +141,7 @@
         served = self._served
         served.close_attempt(run.attempt)
         if run.end.status is AttemptStatus.DROPPED and served.closer.state.has_ended:
-            # The proxy, or the client, ended the session first: that its server then does is not its fault.
+            # The proxy or the client ended the session first: the server's disconnection after that is not its failure.
             run.end = served.closer.state.interrupted_attempt(run.stage)
         if run.end.status not in UNLOGGED_STATUSES:
             served.log_event(
@@ -153,4 +153,4 @@
             )
         served.post_attempt_end(run.number, run.end)
         if run.end.stage is AttemptStage.ESTABLISHED:
-            served.finish_by_server(run.attempt, run.end)
+            served.finish_on_server_end(run.attempt, run.end)
--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -1,4 +1,4 @@
-"""What the client sessions of a proxy share."""
+"""State and services shared by the client sessions of a proxy."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class PeerSide(Enum):
-    """Whose connection one of a session's two connections is."""
+    """Which of a session's two connections: the client's or the server's."""
 
     CLIENT = "client"
     SERVER = "server"
@@ -37,9 +37,9 @@
     """One open connection of a session.
 
     Attributes:
-        side: Whose it is.
-        descriptor: Its descriptor.
-        is_blocked: What it has sent is not read, as the other side does not take what it was sent before.
+        side: The peer at the other end of the connection.
+        descriptor: The file descriptor of the connection.
+        is_blocked: The connection is not read, as earlier data from it is still being sent to the other side.
     """
 
     side: PeerSide
@@ -48,22 +48,22 @@
 
 
 class MonitoredRelay(Protocol):
-    """The relay of an established session, for those who have no business with the controller."""
+    """The relay of an established session, as the session monitor and the shutdown use it."""
 
     def peers(self) -> Iterator[Peer]:
-        """Gives the open connections of the session."""
+        """Yield the open connections of the session."""
         ...
 
     def end_if_blocked_client_reset(self) -> None:
-        """Ends the session of a client that has reset its connection while its server takes nothing."""
+        """End the session if the client has reset its connection while the server does not read."""
         ...
 
     def abandon_server(self) -> None:
-        """Migrates the session, as its server is taken to be unresponsive."""
+        """Migrate the session because its server is considered unresponsive."""
         ...
 
     def migrate_now(self) -> None:
-        """Migrates the session without waiting for a line that its server has begun, as the process ends."""
+        """Migrate the session without waiting for the end of a partial line of the server, as the process ends."""
         ...
 
 
@@ -72,11 +72,11 @@
     """An established session, as the session monitor sees it.
 
     Attributes:
-        state: Its request.
-        server: The server that it is connected to.
-        latency: The times of its messages.
-        session_state: Whether its client takes what it is sent, among others.
-        relay: Migrates or ends it.
+        state: The controller's state of the request.
+        server: The server that the session is connected to.
+        latency: The latency of its messages.
+        session_state: The state of the session, such as whether a send to the client is in progress.
+        relay: The relay, which migrates or ends the session.
     """
 
     state: RequestState
@@ -88,27 +88,27 @@
 
 @dataclass(slots=True, eq=False)
 class ProxyContext:
-    """Everything that client sessions use but do not own. All of it lives in the one event loop.
+    """Everything that client sessions use but do not own. All of it is used from the one event loop.
 
     Attributes:
-        deployment: The platform's settings, read at the start.
+        deployment: The platform's settings, read at startup.
         controller: Owns the balancer and the state of all requests; sessions only post messages to it.
         backends: The known servers, kept up to date by discovery and suspensions; sessions only read it.
-        clock: The time.
-        load_report_row: Turns a server's load report into the columns that the settings name.
-        counters: Counted by whoever sees the event.
-        log: Written by whoever sees the event.
-        rate_limited_log: The same log, for events that bad clients could cause without limit.
-        descriptor_limiter: Owned by this package; hot restart exchanges the figures of sibling processes through it.
+        clock: The clock for all timestamps and deadlines.
+        load_report_row: Converts a server's load report into the columns that the settings name.
+        counters: Incremented by the code that observes the event.
+        log: Written by the code that observes the event.
+        rate_limited_log: The same log, for events that misbehaving clients could cause without limit.
+        descriptor_limiter: Owned by this package; hot restart tells it the descriptors of sibling processes.
         request_ids: Owned by this package: request readers register ids, sessions mark them as ended.
         established_sessions: By request id. Owned by this package: an attempt adds its session and removes it again;
             the session monitor, maintenance and management only read it.
-        pending_restores: Requests whose sessions are still to be restored, by id; each is called to reject its request.
+        pending_restores: Callbacks that reject requests whose sessions are still to be restored, by request id.
         lifecycle: Changed by the service on signals, and by management and maintenance; sessions only read it.
-        class_indexes: The settings' classes by name.
-        tenant_indexes: The settings' tenants by name.
-        metrics: What operators read. Counted by sessions, rendered by management.
-        request_field_pattern: How a field of a client's first line reads.
+        class_indexes: Indexes of the settings' request classes, by name.
+        tenant_indexes: Indexes of the settings' tenants, by name.
+        metrics: Metrics for operators. Updated by sessions, rendered by management.
+        request_field_pattern: The pattern that a field of a client's first line has to match.
     """
 
     deployment: Deployment
@@ -138,18 +138,18 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether clients are accepted: not while draining, and not before the first endpoint list."""
+        """Whether clients are accepted: not while draining, and not before the first endpoint list is received."""
         return self.backends.has_endpoints and self.lifecycle.accepts_clients
 
     @property
     def load_line_kind(self) -> SessionMetricKind:
-        """What a LOAD line of a server reports, by the settings alone: see docs/status.md."""
+        """The metric that a server's LOAD lines report, which only the settings determine: see docs/status.md."""
         if self.deployment.reports_message_delay and not self.deployment.reports_session_load:
             return SessionMetricKind.DELAY
         return SessionMetricKind.LOAD
 
     def sessions_by_server(self) -> Iterator[tuple[str, list[EstablishedSession]]]:
-        """The established sessions of each server, in the order in which the first of each was established."""
+        """Yield each server with its established sessions, ordered by when its first session was established."""
         servers: dict[str, list[EstablishedSession]] = {}
         for session in self.established_sessions.values():
             servers.setdefault(session.server, []).append(session)
--- a/stoatgw/clients/descriptor_limiter.py
+++ b/stoatgw/clients/descriptor_limiter.py
@@ -1,32 +1,32 @@
-"""Limits how many file descriptors clients hold; idle connections are evicted in favour of requests."""
+"""A limit on the file descriptors held for clients; idle connections are evicted in favour of requests."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
 RESERVED_DESCRIPTORS = 64  # for the listener, discovery, health checks, the log, and sockets that are being closed
-IDLE_SHARE_DIVISOR = 3  # connections without a request hold at most one in so many descriptors
-DESCRIPTORS_PER_REQUEST = 2  # its client's connection and its server's
-MAX_LINGERING = 24  # of the reserved ones: rejected connections whose request may still be on its way
+IDLE_SHARE_DIVISOR = 3  # connections without a request hold at most 1 / IDLE_SHARE_DIVISOR of the descriptors
+DESCRIPTORS_PER_REQUEST = 2  # the client's connection and the server's
+MAX_LINGERING = 24  # reserved descriptors used for rejected connections whose request may still be in flight
 
 
 class IdleConnection(Protocol):
     """A connection that has not sent a request yet."""
 
     def is_idle(self) -> bool:
-        """Whether all that was received is read, and was no request."""
+        """Return whether all received data has been read, and contained no request."""
         ...
 
     def expire(self) -> None:
-        """Ends the wait for a request."""
+        """End the wait for a request."""
         ...
 
 
 class DescriptorLimiter:
-    """Two budgets: requests come first; connections without a request share a part of what is left.
+    """Two budgets: requests have priority, and connections without a request are limited to a share of the descriptors.
 
-    Guards against hundreds of connections that send nothing, or PING, or half a line, shutting out those that send
-    requests: a usual client sends its request as soon as it is connected, so whoever is idle longest is evicted.
+    Guards against hundreds of connections that send nothing, PING or a partial line shutting out clients that send
+    requests: a usual client sends its request as soon as it is connected, so the longest idle connection is evicted.
     """
 
     def __init__(self, max_descriptors: int) -> None:
@@ -34,22 +34,22 @@
         self._idle_connections: dict[IdleConnection, None] = {}  # oldest first
         self._requests = 0
         self._lingering = 0
-        self.held_by_siblings = 0  # descriptors of other processes of this proxy
+        self.held_by_siblings = 0  # descriptors held by other processes of this proxy
 
     @property
     def descriptors_held(self) -> int:
-        """Descriptors that this process holds for clients and their servers."""
+        """The number of descriptors that this process holds for clients and their servers."""
         return len(self._idle_connections) + DESCRIPTORS_PER_REQUEST * self._requests
 
     def admit_connection(self) -> bool:
-        """Whether one more connection may wait for its request; evicts idle ones for it."""
+        """Return whether one more connection may wait for its request; evicts idle ones if necessary."""
         while len(self._idle_connections) >= max(1, self._max_descriptors // IDLE_SHARE_DIVISOR):
             if not self._evict_oldest():
                 return False
         return self.ensure_available(1)
 
     def ensure_available(self, count: int) -> bool:
-        """Whether so many more descriptors may be held; evicts those connections that are idle longest for them."""
+        """Return whether `count` more descriptors may be held; evicts the longest idle connections if necessary."""
         while self.descriptors_held + self.held_by_siblings + count > self._max_descriptors:
             if not self._evict_oldest():
                 return False
@@ -64,36 +64,36 @@
         return True
 
     def evict_all(self) -> None:
-        """Evicts every idle connection: the process is about to end."""
+        """Evict every idle connection, as the process is about to end."""
         while self._evict_oldest():
             pass
 
     def add_idle(self, connection: IdleConnection) -> None:
-        """Counts a connection that waits for its request, until `remove_idle`."""
+        """Count a connection as waiting for its request until `remove_idle`."""
         self._idle_connections[connection] = None
 
     def remove_idle(self, connection: IdleConnection) -> None:
-        """Counts a connection no longer as waiting; may be called again."""
+        """Stop counting a connection as waiting; idempotent."""
         self._idle_connections.pop(connection, None)
 
     def acquire_request(self) -> bool:
-        """Whether a request gets its descriptors, which it holds until `release_request`."""
+        """Reserve the descriptors of a request, until `release_request`; return False if there are too few."""
         if not self.ensure_available(DESCRIPTORS_PER_REQUEST):
             return False
         self._requests += 1
         return True
 
     def release_request(self) -> None:
-        """Gives back what `acquire_request` granted."""
+        """Release what `acquire_request` reserved."""
         self._requests -= 1
 
     def acquire_linger(self) -> bool:
-        """Whether a rejected connection may stay open for its peer to end it, until `release_linger`."""
+        """Return whether a rejected connection may stay open, for its peer to close it, until `release_linger`."""
         if self._lingering >= MAX_LINGERING:
             return False
         self._lingering += 1
         return True
 
     def release_linger(self) -> None:
-        """Gives back what `acquire_linger` granted."""
+        """Release what `acquire_linger` reserved."""
         self._lingering -= 1
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -1,4 +1,4 @@
-"""Accepts client connections, and starts a task for each."""
+"""Accepting client connections, with a task for each."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from stoatgw.sockets import socket_state, tcp
 
 LISTEN_BACKLOG = 4096
-MAX_BACKLOG_FAILURES = 10  # of accepting what waits as the process ends
+MAX_BACKLOG_FAILURES = 10  # failed calls, in total, while accepting the backlog as the process ends
 
 
 class Listener:
@@ -29,19 +29,19 @@
 
     @property
     def open_connections(self) -> int:
-        """How many accepted connections are still served."""
+        """The number of accepted connections that are still served."""
         return len(self._sessions)
 
     def bind(self, address: Address) -> None:
-        """Creates the listening socket. Raises OSError."""
+        """Create the listening socket. Raises OSError."""
         self._sock = tcp.create_listener((address.host, address.port), LISTEN_BACKLOG)
 
     def adopt(self, sock: socket.socket) -> None:
-        """Accepts from a listening socket that others hold as well: it is never shut down here, only closed."""
+        """Accept from a listening socket that other processes share: it is closed at the end, but never shut down."""
         self._sock = sock
 
     def set_accepting(self, accepting: bool) -> None:
-        """Begins or ceases to accept: other connections stay in the backlog for whoever else accepts there."""
+        """Start or stop accepting; while stopped, connections stay in the backlog for other processes to accept."""
         if accepting:
             self._is_accepting.set()
         else:
@@ -50,7 +50,7 @@
                 self._accept_task.cancel()
 
     async def close(self) -> None:
-        """Accepts what waits in the backlog, which the end of the process would reset, and closes the socket."""
+        """Accept the backlog, which the end of the process would reset, and close the socket."""
         self.set_accepting(False)
         if self._accept_task is not None:
             await asyncio.wait([self._accept_task])
@@ -59,7 +59,7 @@
             self._sock.close()
 
     def _accept_backlog(self, listener: socket.socket) -> None:
-        """Accepts all connections that wait; a call may fail for a moment, or for want of descriptors."""
+        """Accept all pending connections; calls may fail with a transient error or for lack of descriptors."""
         failures = 0
         while failures < MAX_BACKLOG_FAILURES:
             try:
@@ -70,7 +70,7 @@
                 failures += 1
 
     async def run(self) -> None:
-        """Accepts connections for good; returns at once if there is no socket."""
+        """Accept connections until cancelled; return at once if there is no socket."""
         if self._sock is None:
             return
         loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
                 continue
             error = self._accept_task.exception()
             if error is not None:
-                # EMFILE, ECONNABORTED and the like: open sessions go on.
+                # EMFILE, ECONNABORTED and the like: open sessions continue.
                 self._context.counters.add("accept_failures")
                 self._context.rate_limited_log.event("accept_failed", error=str(error))
                 await asyncio.sleep(tcp.ACCEPT_RETRY_INTERVAL_S)
--- a/stoatgw/clients/migration.py
+++ b/stoatgw/clients/migration.py
@@ -1,4 +1,4 @@
-"""When a session that is to migrate ends: between two lines, and so that its client gets MOVE. No sockets."""
+"""Ending a session that is to migrate: between two lines, so that the client can be sent MOVE. No sockets."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 from stoatgw.line_protocol.splitter import LineAligner
 from stoatgw.telemetry.log import EventLog
 
-# For how long MOVE waits for the rest of a line that the server has begun. It is sent all the same, without that line.
+# How long MOVE waits for the rest of a line that the server has begun; after that it is sent without that line.
 LINE_END_TIMEOUT_S = 0.5
-# For how long MOVE waits for a client that takes nothing of what it was sent before: it could not take MOVE either.
+# How long MOVE waits for a client that does not read the data sent before: such a client cannot receive MOVE either.
 CLIENT_TIMEOUT_S = 1.5
 
 
 class SessionMigration:
-    """Ends a session with MOVE as soon as its client has been sent a complete line, and no other has begun to come."""
+    """Ends a session with MOVE once the client has been sent a complete line and the server has begun no other."""
 
     __slots__ = ("_closer", "_log", "_request_state", "_server_lines")
 
     def __init__(
         self, log: EventLog, closer: SessionCloser, request_state: RequestState, server_lines: LineAligner
     ) -> None:
-        """Prepare a migration that may never be asked for; `server_lines` holds what has come of the server's line."""
+        """Prepare a migration that may never be requested; `server_lines` holds the server's partial line."""
         self._log = log
         self._closer = closer
         self._request_state = request_state
         self._server_lines = server_lines
 
     def begin(self) -> None:
-        """Ends the session now or as soon as may be; does nothing where that was asked for before."""
+        """End the session now or as soon as possible; do nothing if a migration was requested before."""
         state = self._closer.state
         if state.is_migrating or state.has_ended:
             return
@@ -52,20 +52,20 @@
         else:
             self.finish()
         if not state.has_ended:
-            loop.call_later(CLIENT_TIMEOUT_S, self._give_up)
+            loop.call_later(CLIENT_TIMEOUT_S, self._finish_without_move)
 
-    def line_sent(self) -> None:
-        """The client has been sent a complete line: ends the session if it is to migrate."""
+    def on_line_sent(self) -> None:
+        """End the session if it is to migrate; called when the client has been sent a complete line."""
         if self._closer.state.is_migrating:
             self.finish()
 
     def finish(self) -> None:
-        """Ends the session with MOVE, unless the client has still to take what precedes it."""
+        """End the session with MOVE, unless the client has not been sent all that precedes it."""
         if self._closer.state.is_line_complete:
             self._closer.finish(SessionEnd(EndReason.MIGRATED, MOVE + b"\r\n", why=self._reason))
 
-    def _give_up(self) -> None:
-        self._closer.finish(SessionEnd(EndReason.MIGRATED, why=f"{self._reason}; its client takes nothing"))
+    def _finish_without_move(self) -> None:
+        self._closer.finish(SessionEnd(EndReason.MIGRATED, why=f"{self._reason}; the client does not read"))
 
     @property
     def _reason(self) -> str:
--- a/stoatgw/clients/recent_ids.py
+++ b/stoatgw/clients/recent_ids.py
@@ -1,4 +1,4 @@
-"""Request ids that are in use or were used lately."""
+"""Request ids that are in use or were used recently."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class RecentIds:
-    """The ids of open requests, and of those that ended lately.
+    """The ids of open requests, and of those that ended recently.
 
-    An id is new for every connection, so a request with one that was seen before is not forwarded.
+    Every connection has to use a new id, so a request with an id that was seen before is not forwarded.
     """
 
     def __init__(self, max_ended: int = MAX_ENDED_IDS) -> None:
@@ -20,14 +20,14 @@
         self._ended_in_order: deque[str] = deque()
 
     def register(self, request_id: str) -> bool:
-        """Marks an id as open; returns False, and changes nothing, if it is known already."""
+        """Mark an id as open; return False, and change nothing, if it is already known."""
         if request_id in self._open or request_id in self._ended:
             return False
         self._open.add(request_id)
         return True
 
     def mark_ended(self, request_id: str) -> None:
-        """Marks an open id as ended; the id that ended longest ago is forgotten if there are too many."""
+        """Mark an open id as ended; above the limit, the id that ended longest ago is forgotten."""
         self._open.discard(request_id)
         self._ended.add(request_id)
         self._ended_in_order.append(request_id)
--- a/stoatgw/clients/request_handler.py
+++ b/stoatgw/clients/request_handler.py
@@ -1,4 +1,4 @@
-"""Serves one accepted request: the session's tasks, and what the controller asks of it."""
+"""Serving one accepted request: the session's tasks, and the controller's requests to it."""
 
 from __future__ import annotations
 
@@ -17,13 +17,14 @@
 from stoatgw.line_protocol.grammar import SessionRequest, encode_busy, encode_error
 from stoatgw.telemetry.metrics import RequestOutcome
 
-LAST_LINES_TIMEOUT_S = 0.25  # how long lines that crossed MOVE are passed on for, unless the client ends before
+# How long lines that the client sends before it receives MOVE are still forwarded, unless it disconnects earlier.
+LAST_LINES_TIMEOUT_S = 0.25
 
 
 class SessionRequestHandler:
     """The `RequestHandler` of a client on a socket.
 
-    `serve` runs in the task of the client's connection; the controller's task calls the others.
+    `serve` runs in the task of the client's connection; the other public methods are called by the controller's task.
     """
 
     __slots__ = ("_attempts", "_closer", "_context", "_relay", "_request", "_request_state", "_served")
@@ -49,7 +50,7 @@
                 request_id=request.request_id,
                 request_class=context.class_indexes[request.class_name],
                 time_left_us=timeout_us,
-                # One that the settings do not name has no quota: it may not use up that of another.
+                # A tenant that the settings do not name has no quota, and must not use up that of another.
                 tenant=context.tenant_indexes.get(request.tenant, len(context.tenant_indexes)),
                 idempotency_key=request.idempotency_key,
                 group=request.group if context.deployment.settings.groups else None,
@@ -62,19 +63,19 @@
             self,
         )
 
-    # The session's life.
+    # Session life cycle.
 
     async def serve(self) -> SessionEnd:
-        """Serves the request until the session ends; then no task of it is left, but both connections are open."""
+        """Serve the request until the session ends; on return its tasks are done, and both connections are open."""
         reader = asyncio.get_running_loop().create_task(self._read_client())
         self._context.metrics.open_requests += 1
         self._start()
         try:
             end = await self._wait_for_end()
-            await self._pass_last_lines(end, reader)
+            await self._forward_last_lines(end, reader)
             return end
         finally:
-            # A socket may be closed only once no task waits on it.
+            # A socket may be closed only when no task waits on it.
             await cancel_and_wait(reader)
             await self._attempts.stop()
 
@@ -96,8 +97,8 @@
             if self._closer.state.must_report_disconnect():
                 self._context.controller.post(ClientDisconnected(self._request_state))
 
-    async def _pass_last_lines(self, end: SessionEnd, reader: asyncio.Task[None]) -> None:
-        """Passes on what was on its way, from the side that did not end the session, as it ended in an orderly way."""
+    async def _forward_last_lines(self, end: SessionEnd, reader: asyncio.Task[None]) -> None:
+        """Forward the last lines of the side that did not end the session, if the end was orderly."""
         if end.was_reset or not self._closer.state.is_established:
             return
         if end.reason is EndReason.CLIENT_DISCONNECTED:
@@ -116,7 +117,7 @@
             self._context.controller.post(RequestReceived(self._request_state))
 
     def log_end(self, end: SessionEnd) -> None:
-        """Logs how the session ended, and why."""
+        """Log how the session ended, and why."""
         state = self._closer.state
         self._served.log_event(
             "session_ended",
@@ -129,25 +130,25 @@
         )
 
     def record_outcome(self, outcome: RequestOutcome) -> None:
-        """Counts the request's outcome, unless one was counted."""
+        """Count the request's outcome, unless one was counted before."""
         self._relay.record_outcome(outcome)
 
-    # What the controller asks for: see `RequestHandler`.
+    # Calls of the controller: see `RequestHandler`.
 
     def start_attempt(self, number: int, server: str, deadline_us: int) -> None:
-        """Starts an attempt at a server."""
+        """Start an attempt at a server."""
         self._attempts.start(number, server, deadline_us)
 
     def cancel_attempt(self, number: int) -> None:
-        """Cancels the attempt in progress."""
+        """Cancel the attempt in progress."""
         self._attempts.cancel()
 
     def reject(self, retry_after_us: int) -> None:
-        """Answers BUSY."""
+        """Answer BUSY."""
         self._answer(RequestOutcome.OVERLOAD, encode_busy(retry_after_us))
 
     def fail(self) -> None:
-        """Answers ERR."""
+        """Answer ERR."""
         self._answer(RequestOutcome.ERROR, encode_error("failed"))
 
     def _answer(self, outcome: RequestOutcome, line: bytes) -> None:
@@ -157,5 +158,5 @@
             self._closer.finish(SessionEnd(EndReason.ANSWERED, line, why=reason.value if reason is not None else ""))
 
     def migrate(self) -> None:
-        """Sends the client away, between two lines."""
+        """Migrate the session: end it with MOVE, between two lines."""
         self._relay.migrate()
--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads a connection's request: its first line, within a limit of time and bytes."""
+"""Reading a connection's request: its first line, within a time and a size limit."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from stoatgw.line_protocol.splitter import MAX_LINE_BYTES, LineSplitter
 from stoatgw.sockets import tcp, transient, watches
 
-REQUEST_TIMEOUT_S = 2.0  # from accepting to a complete request, however its bytes trickle in and whatever PINGs come
-MAX_WAIT_MS = 3_600_000  # no client waits an hour for UP
+REQUEST_TIMEOUT_S = 2.0  # from accept to a complete request, including slowly arriving bytes and preceding PINGs
+MAX_TIMEOUT_MS = 3_600_000  # sanity limit: no client waits an hour for UP
 
 
 class RequestReader:
     """Reads one request; an `IdleConnection` of the descriptor limiter until it is complete.
 
     Attributes:
-        is_expired: Its time is up, or its descriptor is needed: the wait for a request has ended.
+        is_expired: The wait for a request has ended, by the timeout or because the descriptor is needed.
     """
 
     __slots__ = ("_context", "_has_received", "_is_answering_ping", "_ready", "_sock", "_splitter", "is_expired")
@@ -37,15 +37,15 @@
         self._has_received = False
         self.is_expired = False
         self._is_answering_ping = False
-        self._ready: asyncio.Future[None] | None = None  # there is something to read, or the time is up
+        self._ready: asyncio.Future[None] | None = None  # done when there is data to read or the wait has expired
 
     @property
     def holds_partial_request(self) -> bool:
-        """Whether a request was begun, and not ended."""
+        """Whether part of a request was received, but not the rest."""
         return bool(self._splitter.trailing_data)
 
     def is_idle(self) -> bool:
-        """Whether all that was received is read, and was no request."""
+        """Return whether all received data has been read, and contained no request."""
         return not self._has_unread_data()
 
     def _has_unread_data(self) -> bool:
@@ -54,22 +54,23 @@
         except BlockingIOError:
             return False
         except OSError:
-            pass  # the end of the connection is there to be read
+            pass  # a broken connection also has something to read
         return True
 
     def expire(self) -> None:
-        """Ends the wait for a request. What was received by now is read all the same, in case the loop is late.
+        """End the wait for a request. Data that was already received is still read, in case the event loop runs late.
 
-        Reading is not shut down: what crosses the last line could then not be read, and would turn it into a reset.
+        Receiving is not shut down: data that arrives after the last line is sent must be read, or the close becomes a
+        reset.
         """
         self.is_expired = True
         if self._ready is not None and not self._ready.done():
             self._ready.set_result(None)
-        if self._is_answering_ping:  # and the client does not read the answers
+        if self._is_answering_ping:  # wakes a send to a client that does not read the answers
             tcp.shut_down(self._sock)
 
     async def read_request(self) -> SessionRequest | MalformedRequest | None:
-        """Reads the request; None if the client leaves or sends nothing. Raises OSError."""
+        """Read the request; return None if the client disconnects or sends nothing. Raises OSError."""
         timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self.expire)
         try:
             return await self._read_until_complete()
@@ -89,7 +90,7 @@
                 return None
 
     async def _receive(self) -> bytes | None:
-        """Waits for bytes, or for the end of the time; None if nothing has come. Raises OSError."""
+        """Wait for data or for the expiry, and return the data; None if there is none. Raises OSError."""
         try:
             if not self.is_expired:
                 self._ready = asyncio.get_running_loop().create_future()
@@ -124,16 +125,16 @@
         request = parse_session_request(lines[0], self._context.request_field_pattern)
         if isinstance(request, MalformedRequest):
             return request
-        reason = self._find_fault(request, has_more=len(lines) > 1)
+        reason = self._find_error(request, has_more=len(lines) > 1)
         return request if reason is None else MalformedRequest(reason, request.class_name)
 
-    def _find_fault(self, request: SessionRequest, *, has_more: bool) -> str | None:
+    def _find_error(self, request: SessionRequest, *, has_more: bool) -> str | None:
         if has_more or self._splitter.trailing_data or self._splitter.is_overlong:
-            # A client waits for UP after its line: what comes with it was meant for no session server.
+            # A client has to wait for UP after its first line: further data is not a session server's to handle.
             return "more came before UP"
         if request.class_name not in self._context.class_indexes:
             return "class is unknown"
-        if request.previous_server is None and request.timeout_ms > MAX_WAIT_MS:  # a restored session waits for good
+        if request.previous_server is None and request.timeout_ms > MAX_TIMEOUT_MS:  # a restored session waits without limit
             return "field d is beyond belief"
         if not self._context.request_ids.register(request.request_id):
             return "the id came before"
--- a/stoatgw/clients/session.py
+++ b/stoatgw/clients/session.py
@@ -1,4 +1,4 @@
-"""The life of one client connection, from accepting it to closing it. Exceptions stop here."""
+"""The life cycle of one client connection, from accept to close. Exceptions are handled here."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 class ClientSession:
-    """One accepted connection: its request is read, given descriptors, served, and both sides are closed.
+    """One accepted connection: reads its request, reserves descriptors, serves it, and closes both sides.
 
-    Owns the connection's socket, its place in the descriptor limiter and its request id; `run` gives all of them back.
+    Owns the connection's socket, its entry in the descriptor limiter and its request id; `run` releases all of them.
     """
 
     __slots__ = (
@@ -33,16 +33,16 @@
     def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         self._sock = sock
         self._context = context
-        self._reader: RequestReader | None = RequestReader(sock, context)  # until it has read the request
+        self._reader: RequestReader | None = RequestReader(sock, context)  # None once the request is read
         context.descriptor_limiter.add_idle(self._reader)
-        self._request: SessionRequest | None = None  # once it is accepted
-        self._closed_reason = ""  # why it is closed without a request, if that is worth a line in the log
+        self._request: SessionRequest | None = None  # set once the request is accepted
+        self._closed_reason = ""  # for the log, if the connection is closed without a request
         self._holds_descriptors = False
-        self._closer: SessionCloser | None = None  # once it has them
+        self._closer: SessionCloser | None = None  # set once the descriptors are reserved
         self._handler: SessionRequestHandler | None = None
 
     async def run(self) -> None:
-        """Serves the connection; never raises, unless cancelled."""
+        """Serve the connection; never raises, unless cancelled."""
         try:
             await self._read_and_serve()
         except OSError as error:
@@ -65,7 +65,7 @@
         if request is None:
             if self._closed_reason:
                 self._context.rate_limited_log.event("connection_closed", why=self._closed_reason)
-            # BUSY: a request that crosses it on the way has its answer, and may be sent again.
+            # BUSY also answers a request that is already in flight, which the client may then retry.
             await reject_connection(self._context, self._sock, encode_busy(0))
         elif isinstance(request, MalformedRequest):
             self._context.counters.add("requests_malformed")
@@ -81,14 +81,14 @@
             return None
         request = await self._reader.read_request()
         if self._reader.is_expired:
-            self._closed_reason = "it sent no request in time"
+            self._closed_reason = "the client sent no request in time"
         elif self._reader.holds_partial_request:
-            self._closed_reason = "its client ended it within its request"
+            self._closed_reason = "the client disconnected in the middle of its request"
         self._drop_reader()
         return request
 
     def _drop_reader(self) -> None:
-        """Ends the reader's place among the idle connections; not kept, as sessions are many and long."""
+        """Remove the reader from the idle connections and free its memory, as sessions are many and long."""
         if self._reader is not None:
             self._context.descriptor_limiter.remove_idle(self._reader)
             self._reader = None
--- a/stoatgw/clients/session_restore.py
+++ b/stoatgw/clients/session_restore.py
@@ -1,4 +1,4 @@
-"""Connects a session of an earlier process to its server again."""
+"""Reconnecting a session of an earlier process to its server."""
 
 from __future__ import annotations
 
@@ -14,23 +14,25 @@
 RESTORE_TIMEOUT_S = 39.0
 RESTORE_DIAL_TIMEOUT_US = 2_000_000
 RESTORE_RETRY_INTERVAL_S = 0.1
-RETRIED_STATUSES = (AttemptStatus.DIAL_FAILED, AttemptStatus.SHED)  # after any other it may have run: not again
+RETRIED_STATUSES = (AttemptStatus.DIAL_FAILED, AttemptStatus.SHED)  # after any other status the request may have run
 
 
 class SessionRestorer:
-    """Restores one session at the server it had, also where the endpoint list or the server is late."""
+    """Restores one session on its previous server, with retries while the server is not listed or not ready."""
 
     def __init__(self, served: ServedRequest, server: str) -> None:
         self._served = served
         self._server = server
         self._attempt: Attempt | None = None
         self._is_established = False
-        self._end: AttemptEnd | None = AttemptEnd(AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING, "not listed")
+        self._end: AttemptEnd | None = AttemptEnd(
+            AttemptStatus.DIAL_FAILED, AttemptStage.CONNECTING, "not in the endpoint list"
+        )
         self._attempts = 0
         self._logged_reason = ""
 
     async def run(self) -> None:
-        """Connects, relays the session until it ends, and reports what came of it."""
+        """Connect, relay the session until it ends, and report the result."""
         served = self._served
         served.context.pending_restores[served.request.request_id] = self._reject
         try:
@@ -48,16 +50,16 @@
             self._finish()
 
     def _reject(self) -> None:
-        """The process is about to end, and its client is owed an answer."""
+        """Answer the client, as the process is about to end."""
         state = self._served.request_state
         state.answer_reason = AnswerReason.DRAINING
         if self._attempt is not None and self._attempt.stage is AttemptStage.SENT:
-            state.handler.fail()  # it may have run
+            state.handler.fail()  # the request may have run
         else:
             state.handler.reject(0)
 
     async def _establish(self) -> Attempt | None:
-        """Makes attempts until one is established; None if there is no use in a further one, or no time."""
+        """Make attempts until one is established; return None if retrying is pointless or the time is up."""
         context = self._served.context
         deadline_us = context.clock.now_us() + int(RESTORE_TIMEOUT_S * 1e6)
         while context.clock.now_us() < deadline_us:
@@ -73,14 +75,14 @@
         return None
 
     def _log_retry(self) -> None:
-        """Logs why there is a retry, where the reason is another than for the last: ten retries a second have one."""
+        """Log why there is a retry if the reason has changed, as ten retries a second may share one reason."""
         reason = self._end.reason if self._end is not None else ""
         if reason != self._logged_reason:
             self._logged_reason = reason
             self._served.log_event("session_restore_retried", backend=self._server, why=reason, attempts=self._attempts)
 
     async def _connect(self, backend: Backend, deadline_us: int) -> Attempt:
-        """Makes one attempt, whose end goes to `_end`: None if it is established."""
+        """Make one attempt and store its end in `_end`, None if it is established."""
         served = self._served
         attempt = served.create_attempt(backend, RESTORE_DIAL_TIMEOUT_US)
         self._attempt = attempt
@@ -100,11 +102,11 @@
         if self._attempt is not None:
             served.close_attempt(self._attempt)
         if self._is_established:
-            end = self._end or AttemptEnd(AttemptStatus.DROPPED, AttemptStage.ESTABLISHED, "fault")
+            end = self._end or AttemptEnd(AttemptStatus.DROPPED, AttemptStage.ESTABLISHED, "internal error")
             served.post_attempt_end(0, end)
-            served.finish_by_server(self._attempt, end)
+            served.finish_on_server_end(self._attempt, end)
             return
-        reason = self._end.reason if self._end is not None else "fault"
+        reason = self._end.reason if self._end is not None else "internal error"
         served.context.counters.add("sessions_not_restored")
         served.log_event("session_restore_failed", backend=self._server, why=reason, attempts=self._attempts)
         served.request_state.answer_reason = AnswerReason.RESTORE_FAILED
--- a/stoatgw/clients/session_state.py
+++ b/stoatgw/clients/session_state.py
@@ -1,11 +1,11 @@
 """The rules of one client session, without sockets, tasks or clocks.
 
-Both `request_handler.py`, which serves clients on sockets, and the emulator's `Session` keep one `SessionState` and
-ask it what is allowed now: whether the request may still be answered, whether an attempt may start, whether a
-migration has to wait, and how an interrupted attempt is reported.
+Both `request_handler.py`, which serves clients on sockets, and the emulator's `Session` keep a `SessionState` and query
+it for what is allowed: whether the request may still be answered, whether an attempt may start, whether a migration
+has to wait, and how an interrupted attempt is reported.
 
-Not in here, because the two sides have nothing in common: the steps of an attempt (a task that waits on a socket
-there, scheduled events here), the reset and the last line of a closing connection, and what is counted or logged.
+Not included, because the two have nothing in common there: the steps of an attempt (a task that waits on a socket in
+the proxy, scheduled events in the emulator), the reset and the last line of a closing connection, counters and logs.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 class EndReason(Enum):
     """Why a session ended."""
 
-    ANSWERED = "answered"  # with BUSY or ERR, not with UP
+    ANSWERED = "answered"  # with BUSY or ERR
     CLIENT_DISCONNECTED = "client_disconnected"
-    PROTOCOL_VIOLATED = "protocol_violated"  # the client did not wait for UP
+    PROTOCOL_VIOLATED = "protocol_violated"  # the client sent data before UP
     SERVER_ENDED = "server_ended"
     MIGRATED = "migrated"
 
 
 CLIENT_FAULT_REASONS = (EndReason.CLIENT_DISCONNECTED, EndReason.PROTOCOL_VIOLATED)
-# A client that left, or was sent elsewhere, did so in an orderly way: lines on their way, either way, shall arrive.
+# A client that disconnected or was migrated: lines in flight, in both directions, still have to be delivered.
 ORDERLY_REASONS = (EndReason.CLIENT_DISCONNECTED, EndReason.MIGRATED)
 ANSWER_REASONS = (EndReason.ANSWERED, EndReason.PROTOCOL_VIOLATED)
 
@@ -39,9 +39,9 @@
 
     Attributes:
         reason: Why it ended.
-        last_line: What the client is sent before its connection is closed.
-        was_reset: The peer that ended it did so with a reset, which is passed on to the other side.
-        why: What brought it about, for the log.
+        last_line: The line sent to the client before its connection is closed.
+        was_reset: The peer ended the session with a reset, which is propagated to the other side.
+        why: The cause, for the log.
     """
 
     reason: EndReason
@@ -51,22 +51,22 @@
 
     @property
     def is_answer(self) -> bool:
-        """Whether the last line answers the request, so that nothing of the client's can follow it."""
+        """Whether the last line answers the request, so that no data of the client can follow it."""
         return self.reason in ANSWER_REASONS
 
 
 class SessionState:
-    """What has happened to one client session so far, and what may happen next.
+    """The state of one client session, and the transitions that it allows.
 
-    `is_sending` and `is_aligned` are plain attributes, as the relay sets them for each piece of data.
+    `is_sending` and `is_aligned` are plain attributes, as the relay sets them for each chunk of data.
 
     Attributes:
         end: How the session ended; None while it has not.
-        is_established: UP is on its way to the client, or has arrived there: this is the request's one answer.
-        is_sending: The client has still to take a part of what it is sent now.
-        is_aligned: What it is sent ends with a complete line, and not in the middle of one over the limit.
+        is_established: UP is being sent to the client, or was sent: this is the request's one answer.
+        is_sending: A send to the client is in progress.
+        is_aligned: What was sent to the client ends with a complete line, and not in the middle of an overlong one.
         is_migrating: The session is to end as soon as `is_line_complete`.
-        is_closed_to_client: Nothing more of the server's is sent: the last line is, or sending has failed.
+        is_closed_to_client: No more server data is sent to the client: its last line was sent, or sending has failed.
     """
 
     __slots__ = (
@@ -96,23 +96,23 @@
         return self.end is not None
 
     def finish(self, end: SessionEnd) -> bool:
-        """Ends the session; returns False, and changes nothing, if it has ended before."""
+        """End the session; return False, and change nothing, if it has already ended."""
         if self.end is not None:
             return False
         self.end = end
         return True
 
-    # The one answer.
+    # The answer.
 
     def can_answer(self) -> bool:
-        """Whether BUSY or ERR may be sent.
+        """Return whether BUSY or ERR may be sent.
 
-        Guards against a second answer: UP may be on its way while the controller finds the client's time to be up.
+        Guards against a second answer: UP may be in flight when the controller finds the client's deadline passed.
         """
         return not self.is_established and not self.has_ended
 
     def claim_outcome(self) -> bool:
-        """Whether the request's outcome is to be counted now: once, and not for a client that left before it."""
+        """Return whether to count the request's outcome now: once, and not for a client that disconnected before it."""
         if self._is_outcome_claimed or self.has_ended:
             return False
         self._is_outcome_claimed = True
@@ -121,33 +121,33 @@
     # Attempts.
 
     def refuse_attempt(self) -> AttemptEnd | None:
-        """How an attempt that is about to start ends at once; None if it may start.
+        """Return the end of an attempt that must not start; None if it may start.
 
-        Guards against a client that left before the controller's turn: its request would run for nobody.
+        Guards against running a request whose client disconnected before the controller started the attempt.
         """
         if not self.has_ended:
             return None
-        return AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "its client has gone")
+        return AttemptEnd(AttemptStatus.REVOKED, AttemptStage.CONNECTING, "the client has disconnected")
 
     def establish(self) -> None:
-        """Records that UP goes out now. Callers check `refuse_establishment` first."""
+        """Record that UP is being sent now. Callers check `refuse_establishment` first."""
         self.is_established = True
 
     def refuse_establishment(self) -> AttemptEnd | None:
-        """How an attempt whose server has accepted it ends all the same; None if UP may be passed on.
+        """Return the end of an attempt that its server accepted after the session's end; None if UP may be forwarded.
 
-        Guards against UP behind another answer, or for a client that has gone.
+        Guards against UP after another answer, or for a client that has disconnected.
         """
         if not self.has_ended:
             return None
-        return AttemptEnd(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED, "its client was answered meanwhile")
+        return AttemptEnd(AttemptStatus.REVOKED, AttemptStage.ESTABLISHED, "the session ended before UP was received")
 
     def interrupted_attempt(self, stage: AttemptStage) -> AttemptEnd:
-        """How an attempt ends that the proxy gives up, not its server."""
-        return AttemptEnd(self._interrupted_status, stage, "given up")
+        """Return the end of an attempt that the proxy abandons, as opposed to one that its server ends."""
+        return AttemptEnd(self._interrupted_status, stage, "abandoned by the proxy")
 
     def record_unresponsive_server(self) -> None:
-        """The session's server answers nothing any more: an attempt given up from now on counts as dropped by it."""
+        """Record that the server no longer replies: an attempt abandoned from now on counts as dropped by it."""
         self._interrupted_status = AttemptStatus.DROPPED
 
     # Ends.
@@ -158,23 +158,23 @@
         return self.is_aligned and not self.is_sending
 
     @property
-    def owes_last_line(self) -> bool:
+    def has_pending_last_line(self) -> bool:
         """Whether the session has ended, and its client is still to be sent a last line."""
         return self.end is not None and bool(self.end.last_line)
 
     def may_send_to_client(self) -> bool:
-        """Whether what comes from the server now may still be sent to the client.
+        """Return whether data received from the server now may still be sent to the client.
 
-        Until MOVE is sent a client gets what its server had to say before, and one that has ended its side, which may
-        still read, the replies to its last lines. Guards against anything behind a last line.
+        Until MOVE is sent, a migrating client still gets the server's earlier lines; a client that has shut down
+        sending may still read, and gets the replies to its last lines. Guards against data after a last line.
         """
         if self.is_closed_to_client:
             return False
         return self.end is None or (self.end.reason in ORDERLY_REASONS and not self.end.was_reset)
 
     def must_report_disconnect(self) -> bool:
-        """Whether the controller has yet to learn that nobody waits for the request, or uses the session, any more.
+        """Return whether the controller has to be notified that the client no longer waits for or uses the session.
 
-        It knows by itself where it gave the answer, or asked for the migration, or learns of the attempt's end.
+        It already knows if it gave the answer or requested the migration, or if it is notified of the attempt's end.
         """
         return self.end is None or self.end.reason in CLIENT_FAULT_REASONS
--- a/tests/peer_disconnect_rig.py
+++ b/tests/peer_disconnect_rig.py
@@ -23,7 +23,7 @@
 UP = b"UP 77\r\n"
 MOVE = b"MOVE\r\n"
 MANY_LINES = (b"x" * 998 + b"\r\n") * 20  # more than one read takes
-TIMER_REASONS = ("timed out", "it sent no request in time")
+TIMER_REASONS = ("timed out", "the client sent no request in time")
 
 
 class Ending(Enum):
--- a/tests/test_log_reasons.py
+++ b/tests/test_log_reasons.py
@@ -57,7 +57,7 @@
         assert await reader.read() == b"BUSY\r\n"
         await proxy.wait_until_idle()
         (event,) = named(events, "connection_closed")
-        assert event["why"] == "its client ended it within its request"
+        assert event["why"] == "the client disconnected in the middle of its request"
 
     run_loopback(serve_echo, test)
 
