--- a/tests/conversation_rig.py
+++ b/tests/conversation_rig.py
@@ -1,4 +1,4 @@
-"""A real proxy process between clients that keep sending and servers that answer in pieces; what each side got."""
+"""A real proxy process between clients that keep sending and servers that answer in pieces; records both sides."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 SERVER_NAMES = ("s-1", "s-2")
 CLIENT_INTERVAL_S = 0.003  # between two lines of a client
 PIECE_INTERVAL_S = 0.001  # between two pieces of a line
-RETRY_INTERVAL_S = 0.05  # of a client that was rejected
+RETRY_INTERVAL_S = 0.05  # of a rejected client
 
 
 def pieces(line: bytes) -> list[bytes]:
-    """A line in three pieces, the second of which ends in the middle of CRLF."""
+    """Return a line in three pieces, the second of which ends between CR and LF."""
     return [line[: len(line) // 2], line[len(line) // 2 : -1], line[-1:]]
 
 
@@ -29,11 +29,11 @@
 
 @dataclass
 class Conversation:
-    """One session: what its client wrote and read, and what its server read and wrote.
+    """One session: the data sent and received by its client and by its server.
 
     Attributes:
         was_reset: The client's connection ended with a reset.
-        has_stalled: Its server has written half a line, and writes no more.
+        has_stalled: Set once the server has written a partial line and stopped.
     """
 
     number: int
@@ -44,18 +44,20 @@
     was_reset: bool = False
     has_stalled: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def faults(self) -> list[str]:
-        """What a sound client or server complains of: a reset, half a line, a changed line, or no MOVE."""
+    def failures(self) -> list[str]:
+        """Return what must not happen to a client or server: a reset, a partial or changed line, or no MOVE."""
         lines, separator, rest = self.received.rpartition(b"MOVE\r\n")
-        faults = {
+        failures = {
             "the client's connection was reset": self.was_reset,
-            "no MOVE behind a whole line": not separator or bool(rest) or not lines.endswith(b"\n"),
+            "no MOVE after a complete line": not separator or bool(rest) or not lines.endswith(b"\n"),
             "a line of the server was changed": not self.server_sent.startswith(lines),
             "a line of the client was changed": not self.sent.startswith(self.server_received),
-            "the server was left with half a line": not (b"\n" + self.server_received).endswith(b"\n"),
+            "the server was left with a partial line": not (b"\n" + self.server_received).endswith(b"\n"),
         }
         ends = f"the client got ...{self.received[-40:]!r}, the server ...{self.server_received[-40:]!r}"
-        return [f"session {self.number}: {fault}; {ends}" for fault, is_seen in faults.items() if is_seen]
+        return [
+            f"session {self.number}: {failure}; {ends}" for failure, has_occurred in failures.items() if has_occurred
+        ]
 
 
 class ConversationRig(ProxyRig):
@@ -65,12 +67,12 @@
         super().__init__(folder)
         self._by_id: dict[bytes, Conversation] = {}
         self._last_number = 0
-        self.servers_stall = False  # in the middle of their next line, for good
+        self.servers_stall = False  # in the middle of their next line, permanently
         self._open_sessions = 0  # at all session servers
         self._clients: list[asyncio.Task[None]] = []
 
     async def start_sessions(self, count: int) -> None:
-        """Establishes sessions one after the other; their clients go on sending."""
+        """Establish sessions one after the other; their clients keep sending."""
         while len(self._clients) < count:
             await self._start_session()
 
@@ -84,21 +86,21 @@
         conversation.received = await reader.readline()
         if conversation.received.startswith(b"UP"):
             self._clients.append(asyncio.create_task(self._converse(conversation, reader, writer)))
-        else:  # a rejection: the client comes again, as another request
+        else:  # rejected: the client retries with a new request
             writer.close()
             del self._by_id[request_id]
             await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def stall_servers(self) -> None:
-        """Has all servers stop in the middle of a line, and waits until they have."""
+        """Make all servers stop in the middle of a line, and wait until they have."""
         self.servers_stall = True
         for conversation in self._by_id.values():
             await conversation.has_stalled.wait()
 
     async def wait_for_ends(self) -> list[str]:
-        """Waits until every session has ended; what was wrong with them."""
+        """Wait until every session has ended; return their failures."""
         await asyncio.gather(*self._clients)
-        return [fault for conversation in self._by_id.values() for fault in conversation.faults()]
+        return [failure for conversation in self._by_id.values() for failure in conversation.failures()]
 
     # A client.
 
@@ -159,7 +161,7 @@
 
 @contextlib.asynccontextmanager
 async def conversation_rig(folder: Path) -> AsyncIterator[ConversationRig]:
-    """A rig whose services run; its processes are ended in any case."""
+    """Yield a rig with running services; its processes are always terminated."""
     rig = ConversationRig(folder)
     await rig.start_services(SERVER_NAMES)
     async with rig.running():
--- a/tests/test_session_ends.py
+++ b/tests/test_session_ends.py
@@ -1,15 +1,11 @@
-"""Sessions that the proxy itself ends, on real processes: nobody is left with half a line, and every client gets MOVE.
+"""Sessions that the proxy itself ends, on real processes: no peer gets a partial line, and every client gets MOVE.
 
-The failure: users of two deployment trials lost their sessions in the middle of an exercise. In one, staff had drained
-the proxy; in the other, they had suspended the session server. A client's line had just arrived, and the server had
-written half of its reply. The proxy then ended both connections, though client and server were sound.
+Guards against sessions lost in a drain of the proxy or a suspension of a session server: the migration was decided
+between two lines, but the server's bytes were still forwarded until the session's tasks were cancelled, some event loop
+iterations later. `MOVE` was sent after a partial line, so the client read one corrupted line and no `MOVE`.
 
-The cause: a migration was decided on between two lines, but the server's bytes went on being forwarded until the
-session's tasks were cancelled, some turns of the event loop later. `MOVE` was sent behind half a line, so that the
-client read a line that nobody had written, and saw its connection end without a `MOVE`.
-
-The evidence: with servers that answer in pieces and clients that keep sending, what clients received ends with the
-first piece of a reply and `MOVE` in one line. A drain and a suspension each show it within a second.
+The test uses servers that answer in pieces and clients that keep sending. Without the fix, the data that clients
+receive ends with the first piece of a reply and `MOVE` in one line, within a second of a drain or a suspension.
 """
 
 from __future__ import annotations
@@ -49,10 +45,10 @@
 
 @pytest.mark.parametrize("servers_stall", [False, True])
 @pytest.mark.parametrize("end_sessions", [drain, suspend_all_servers, terminate, replace_process])
-def test_sessions_that_the_proxy_ends_are_moved_between_two_lines(
+def test_sessions_that_the_proxy_ends_get_move_between_two_lines(
     end_sessions: EndSessions, servers_stall: bool, tmp_path: Path
 ) -> None:
-    async def play() -> None:
+    async def run_sessions() -> None:
         async with conversation_rig(tmp_path) as rig:
             process, port = await rig.start_process()
             await rig.start_sessions(SESSIONS)
@@ -64,4 +60,4 @@
         assert [(end["reason"], end["answer"]) for end in ends] == [("migrated", "MOVE")] * SESSIONS
         assert all(end["why"] for end in ends)
 
-    asyncio.run(play())
+    asyncio.run(run_sessions())
