--- a/stoatgw/clients/request_reader.py
+++ b/stoatgw/clients/request_reader.py
@@ -134,7 +134,8 @@
             return "more came before UP"
         if request.class_name not in self._context.class_indexes:
             return "class is unknown"
-        if request.previous_server is None and request.timeout_ms > MAX_TIMEOUT_MS:  # a restored session waits without limit
+        # A restored session waits without limit.
+        if request.previous_server is None and request.timeout_ms > MAX_TIMEOUT_MS:
             return "field d is beyond belief"
         if not self._context.request_ids.register(request.request_id):
             return "the id came before"
