--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -85,9 +85,9 @@
 
 
 class PartialSendSocket(socket.socket):
-    """Sends four bytes at a time, with a BlockingIOError in between; calls `on_sent` once it has sent the last byte."""
+    """Sends four bytes at a time, with a BlockingIOError in between; calls `on_last_byte` once it has sent the last byte."""
 
-    on_sent: Any = None
+    on_last_byte: Any = None
     unsent_bytes = len(LINE)
 
     def send(self, data: Any, flags: int = 0) -> int:
@@ -97,7 +97,7 @@
         count = super().send(bytes(data)[:4])
         self.unsent_bytes -= count
         if count == len(data):
-            self.on_sent()
+            self.on_last_byte()
         return count
 
 
@@ -118,7 +118,7 @@
         monkeypatch.setattr(tcp, "create_socket", lambda: sock)
         attempt = Attempt(Backend("s", "127.0.0.1", port), StoppedClock(), 10**6, 0, lambda row: (), lambda: None)
         task = asyncio.create_task(attempt.open(lambda _: LINE, 200_000))
-        sock.on_sent = task.cancel if is_cancelled else lambda: None
+        sock.on_last_byte = task.cancel if is_cancelled else lambda: None
         await asyncio.wait([task])
         if not is_cancelled:
             assert task.result() == AttemptEnd(AttemptStatus.EXPIRED, AttemptStage.SENT, "timed out")
--- a/tests/test_session_races.py
+++ b/tests/test_session_races.py
@@ -29,14 +29,14 @@
 from tests.test_service import make_core
 from tests.test_sessions import OPEN, LoopbackProxy, Serve, Streams, run_loopback, serve_echo
 
-FIXED = settings(derandomize=True, deadline=None, max_examples=150)
+DETERMINISTIC = settings(derandomize=True, deadline=None, max_examples=150)
 FLOOD = (b"x" * 998 + b"\r\n") * 20_000  # more than the socket buffers hold
 
 
 # Reading and sending.
 
 
-@FIXED
+@DETERMINISTIC
 @given(
     st.lists(st.binary(max_size=20) | st.integers(MAX_LINE_BYTES - 5, MAX_LINE_BYTES + 5).map(bytes), max_size=6),
     st.lists(st.integers(0, 20_000)),
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -459,16 +459,16 @@
     """The request and the EOF are read before the controller runs, as after a stall: the request must not be run."""
 
     async def test(proxy: LoopbackProxy) -> None:
-        held = list[Message]()
-        setattr(proxy.controller, "post", held.append)  # noqa: B010
+        delayed_messages = list[Message]()
+        setattr(proxy.controller, "post", delayed_messages.append)  # noqa: B010
         _, writer = await proxy.open_session()
-        while not held:
+        while not delayed_messages:
             await asyncio.sleep(0.01)
         writer.close()
         while proxy.listener.open_connections:
             await asyncio.sleep(0.01)
         delattr(proxy.controller, "post")
-        for message in held:
+        for message in delayed_messages:
             proxy.controller.post(message)
         while not proxy.counters["attempts"]:
             await asyncio.sleep(0.01)
