--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -85,7 +85,7 @@
 
 
 class PartialSendSocket(socket.socket):
-    """Sends four bytes at a time, with a BlockingIOError in between; calls `on_last_byte` after the last byte is sent."""
+    """Sends four bytes at a time, with a BlockingIOError in between; calls `on_last_byte` after the last byte."""
 
     on_last_byte: Any = None
     unsent_bytes = len(LINE)
