--- a/tests/test_session_races.py
+++ b/tests/test_session_races.py
@@ -481,10 +481,10 @@
 def test_the_last_lines_of_a_server_are_delivered_although_sending_to_it_fails(
     last_line: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The server has closed its connection while the client still sends, and the client reads slowly.
+    """The server has closed its connection while the client still sends, and the client reads only later.
 
-    So sending to the server fails before the client has read its last lines, all of which are in the socket buffers:
-    more than the client's buffers hold, less than the proxy's.
+    So sending to the server fails more than `SEND_ERROR_GRACE_S` before the client has read the last lines. All of
+    these are in the socket buffers: more than the client's buffers hold, less than the proxy's.
     """
     lines = FLOOD[:60_000]
     has_ended = asyncio.Event()
