--- a/stoatgw/cli/maintain.py
+++ b/stoatgw/cli/maintain.py
@@ -47,9 +47,9 @@
         f"{len(machines) - len(servers)} proxies, done when {maintenance_plan.completion}"
     )
     click.echo(
-        f"at once: {maintenance_plan.max_servers_out} session servers, "
+        f"at once: {maintenance_plan.max_unavailable_servers} session servers, "
         f"{maintenance_plan.max_zone_fraction:g} of each zone rounded down, "
-        f"{maintenance_plan.max_proxies_out} proxies; each at most {maintenance_plan.step_timeout_s:g} s"
+        f"{maintenance_plan.max_unavailable_proxies} proxies; each at most {maintenance_plan.step_timeout_s:g} s"
     )
     for number, name in enumerate(machines, 1):
         click.echo(f"{number:4}  {name}")
@@ -106,7 +106,7 @@
 
 def _describe_progress(step: RolloutStep) -> str:
     """How far a step that is under way has got."""
-    if step.state is not StepState.OUT:
+    if step.state is not StepState.OUT_OF_SERVICE:
         return ""
     if step.is_evacuated:
         return " may be worked on"
@@ -146,5 +146,7 @@
         )
         response = await client.call(etcd_api.TRANSACTION_PATH, request)
         if not isinstance(response, CallFailure) and etcd_api.parse_transaction(response).succeeded:
-            return f"aborted; {len(rollout.machines_out())} machines are brought back by the proxy that leads"
+            return (
+                f"aborted; {len(rollout.machines_out_of_service())} machines are brought back by the proxy that leads"
+            )
     raise click.ClickException("not aborted: the engine did not take it; try again")
--- a/stoatgw/config/maintenance.py
+++ b/stoatgw/config/maintenance.py
@@ -14,9 +14,9 @@
 PROXY_PREFIX = "proxy/"  # before the name of a proxy; the other machines are session servers, by their id
 
 TOML_NAMES = {
-    "max_servers_out": "out_most",
+    "max_unavailable_servers": "out_most",
     "max_zone_fraction": "zone_share",
-    "max_proxies_out": "proxies_out_most",
+    "max_unavailable_proxies": "proxies_out_most",
     "min_members": "members_least",
     "completion": "done",
     "step_timeout_s": "step_s",
@@ -31,9 +31,9 @@
     Attributes:
         name: Names the maintenance: another name is another maintenance, begun from its first machine.
         machines: Session servers and proxies, in the order in which they are taken out.
-        max_servers_out: How many session servers may be out at once.
+        max_unavailable_servers: How many session servers may be out at once.
         max_zone_fraction: How much of each zone's session servers may be out at once, rounded down.
-        max_proxies_out: How many proxies may be out at once.
+        max_unavailable_proxies: How many proxies may be out at once.
         min_members: No step begins while fewer proxies are members at the engine.
         completion: A step is done when nobody uses the machine any more, or when discovery lists a later start.
         step_timeout_s: After so long a machine is brought back as late.
@@ -44,9 +44,9 @@
 
     name: Name
     machines: Annotated[tuple[Machine, ...], msgspec.Meta(min_length=1, max_length=5000)]
-    max_servers_out: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
+    max_unavailable_servers: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
     max_zone_fraction: Annotated[float, msgspec.Meta(gt=0.0, le=1.0)] = 0.34
-    max_proxies_out: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
+    max_unavailable_proxies: Annotated[int, msgspec.Meta(ge=1, le=100)] = 1
     min_members: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1
     completion: Literal["empty", "restarted"] = "restarted"
     step_timeout_s: Annotated[float, msgspec.Meta(ge=1.0, le=86_400.0)] = 300.0
--- a/stoatgw/emulator/loopback/maintenance/run.py
+++ b/stoatgw/emulator/loopback/maintenance/run.py
@@ -194,7 +194,7 @@
             snapshot = await self.read_snapshot()
             steps = snapshot.rollout.steps if snapshot is not None and snapshot.rollout is not None else {}
             for name, step in steps.items():
-                if step.state is StepState.OUT and step.is_evacuated and name not in started:
+                if step.state is StepState.OUT_OF_SERVICE and step.is_evacuated and name not in started:
                     started.add(name)
                     self._start_task(self._work_on(name))
             await asyncio.sleep(STAFF_INTERVAL_S)
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -49,11 +49,13 @@
         raise LabError(f"{out}: is no folder")
     out.mkdir(parents=True, exist_ok=True)
     rows: list[dict[str, Value]] = []
-    for max_servers_out in bounds:
+    for max_unavailable_servers in bounds:
         for kills_leader in (False, True):
-            results = [asyncio.run(_run(servers, max_servers_out, kills_leader=kills_leader)) for _ in range(repeats)]
+            results = [
+                asyncio.run(_run(servers, max_unavailable_servers, kills_leader=kills_leader)) for _ in range(repeats)
+            ]
             rows.append(
-                {"servers": servers, "out_most": max_servers_out, "killed": int(kills_leader), "plays": repeats}
+                {"servers": servers, "out_most": max_unavailable_servers, "killed": int(kills_leader), "plays": repeats}
                 | _summarise(results)
             )
             yield ", ".join(f"{name} {value}" for name, value in rows[-1].items())
@@ -75,11 +77,11 @@
     }
 
 
-async def _run(servers: int, max_servers_out: int, *, kills_leader: bool) -> RunResult:
+async def _run(servers: int, max_unavailable_servers: int, *, kills_leader: bool) -> RunResult:
     plan = MaintenancePlan(
         name="upkeep",
         machines=tuple(f"s-{index}" for index in range(servers)),
-        max_servers_out=max_servers_out,
+        max_unavailable_servers=max_unavailable_servers,
         max_zone_fraction=1.0,
         settle_s=0.5,
         member_loss_timeout_s=3.0,
@@ -104,7 +106,7 @@
             rollout = await run.wait_until_finished()
             return RunResult(
                 duration_s=asyncio.get_running_loop().time() - started_s,
-                max_machines_out=max(len(state.machines_out()) for state in run.rollout_history()),
+                max_machines_out=max(len(state.machines_out_of_service()) for state in run.rollout_history()),
                 not_worked_on_once=sum(run.work_counts[name] != 1 for name in plan.machines),
                 timed_out=sum(step.state is StepState.LATE for step in rollout.steps.values()),
                 clients_lost=run.clients.tally.lost,
--- a/stoatgw/maintenance/keys.py
+++ b/stoatgw/maintenance/keys.py
@@ -11,7 +11,7 @@
 from stoatgw.maintenance.rollout_state import RolloutState, decode
 from stoatgw.membership.etcd_api import RangeSnapshot
 
-STORED_MEMBER_FIELDS = {"machines_out": "told", "machines_evacuated": "empty"}
+STORED_MEMBER_FIELDS = {"machines_out_of_service": "told", "machines_evacuated": "empty"}
 
 
 class MemberStatus(msgspec.Struct, frozen=True, rename=STORED_MEMBER_FIELDS):
@@ -20,13 +20,13 @@
     Attributes:
         name: The proxy's name.
         start_ms: When its process started, in Unix time.
-        machines_out: The machines that it has taken out.
+        machines_out_of_service: The machines that it has taken out.
         machines_evacuated: Those of them to which it has no connections.
     """
 
     name: str
     start_ms: int
-    machines_out: tuple[str, ...] = ()
+    machines_out_of_service: tuple[str, ...] = ()
     machines_evacuated: tuple[str, ...] = ()
 
 
@@ -113,7 +113,10 @@
         # A member that has published nothing yet has nothing out.
         status = _decode_status(published.value) if published is not None else MemberStatus(identity, 0)
         members[identity] = ProxyMember(
-            status.name, status.start_ms, frozenset(status.machines_out), frozenset(status.machines_evacuated)
+            status.name,
+            status.start_ms,
+            frozenset(status.machines_out_of_service),
+            frozenset(status.machines_evacuated),
         )
     return members
 
--- a/stoatgw/maintenance/local_proxy_actions.py
+++ b/stoatgw/maintenance/local_proxy_actions.py
@@ -20,7 +20,7 @@
         self._publisher = publisher
         self._suspensions = suspensions
 
-    def set_servers_out(self, servers: dict[str, int]) -> None:
+    def set_suspended_servers(self, servers: dict[str, int]) -> None:
         """Suspend exactly these session servers; their sessions are moved within the drain's grace at most."""
         if servers != self._suspensions.overrides.suspensions_from(SuspensionSource.MAINTENANCE):
             grace_us = self._context.deployment.settings.drain_grace_us
--- a/stoatgw/maintenance/local_rollout.py
+++ b/stoatgw/maintenance/local_rollout.py
@@ -27,21 +27,21 @@
         self._actions = actions
         self._unix_us = clocks.unix_us
         self._start_ms = clocks.unix_us() // 1000
-        self._servers_out_since_us: dict[str, int] = {}
+        self._suspended_since_us: dict[str, int] = {}
         self._is_draining = False
-        self._machines_out_before: set[str] = set()
+        self._previous_out_of_service: set[str] = set()
         self._published: tuple[bytes, int] = b"", 0  # the status, and the token under which it was written
 
     def apply(self, state: RolloutState | None) -> None:
         """Take out what is out by the state, and bring back what is not any more."""
         now_us = self._unix_us()
-        machines_out = state.machines_out() if state is not None else []
-        self._servers_out_since_us = {
-            name: self._servers_out_since_us.get(name, now_us)
-            for name in machines_out
+        machines_out_of_service = state.machines_out_of_service() if state is not None else []
+        self._suspended_since_us = {
+            name: self._suspended_since_us.get(name, now_us)
+            for name in machines_out_of_service
             if not name.startswith(PROXY_PREFIX)
         }
-        self._actions.set_servers_out(self._servers_out_since_us)
+        self._actions.set_suspended_servers(self._suspended_since_us)
         must_drain = state is not None and self._must_drain(state)
         if must_drain and not self._is_draining:
             self._actions.start_drain()
@@ -51,7 +51,7 @@
 
     def _must_drain(self, state: RolloutState) -> bool:
         """Whether this very process is out. One that started later is what its proxy was taken out for."""
-        if self._machine_name not in state.machines_out():
+        if self._machine_name not in state.machines_out_of_service():
             return False
         # Both times are by this machine's clock.
         return self._start_ms <= state.steps[self._machine_name].machine_start_ms
@@ -61,13 +61,19 @@
         token = self._lease.fencing_token()
         if not token:
             return
-        machines_out = [*self._servers_out_since_us]
+        machines_out_of_service = [*self._suspended_since_us]
         if self._is_draining:
-            machines_out.append(self._machine_name)
+            machines_out_of_service.append(self._machine_name)
         # Only what was out at the last pass: a request in flight when a machine was taken out counts as there.
-        evacuated = [name for name in machines_out if name in self._machines_out_before and self._is_evacuated(name)]
-        self._machines_out_before = set(machines_out)
-        status = MemberStatus(self._proxy_name, self._start_ms, tuple(sorted(machines_out)), tuple(sorted(evacuated)))
+        evacuated = [
+            name
+            for name in machines_out_of_service
+            if name in self._previous_out_of_service and self._is_evacuated(name)
+        ]
+        self._previous_out_of_service = set(machines_out_of_service)
+        status = MemberStatus(
+            self._proxy_name, self._start_ms, tuple(sorted(machines_out_of_service)), tuple(sorted(evacuated))
+        )
         data = msgspec.json.encode(status)
         if self._published == (data, token):
             return
--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -10,7 +10,7 @@
 class ProxyActions(Protocol):
     """What the maintenance controller does to its own proxy, and observes through it."""
 
-    def set_servers_out(self, servers: dict[str, int]) -> None:
+    def set_suspended_servers(self, servers: dict[str, int]) -> None:
         """Take exactly these session servers out, each since a Unix time in microseconds."""
 
     def start_drain(self) -> None:
--- a/stoatgw/maintenance/rollout_leader.py
+++ b/stoatgw/maintenance/rollout_leader.py
@@ -123,7 +123,7 @@
                 return None
             return RolloutChange(RolloutState(plan_fingerprint=self._plan.fingerprint), RolloutEvent.ROLLOUT_STARTED)
         change = self._planner.next_change(state, FleetSnapshot(machines, snapshot.members), now_us)
-        self._report_blocked(is_blocked=change is None and not state.machines_out(), now_us=now_us)
+        self._report_blocked(is_blocked=change is None and not state.machines_out_of_service(), now_us=now_us)
         return change
 
     def _report_blocked(self, *, is_blocked: bool, now_us: int) -> None:
@@ -138,12 +138,12 @@
         self._conditions.report(events.ROLLOUT_BLOCKED, reason if is_lasting else "")
 
     def _log_change(self, change: RolloutChange, state: RolloutState, token: int) -> None:
-        count_out = len(state.machines_out())
+        out_of_service_count = len(state.machines_out_of_service())
         self._log.event(
             change.event.value,
             machine=change.machine,
             token=token,
-            out=count_out,
-            done=len(state.steps) - count_out,
+            out=out_of_service_count,
+            done=len(state.steps) - out_of_service_count,
             of=len(self._plan.machines),
         )
--- a/stoatgw/maintenance/rollout_planner.py
+++ b/stoatgw/maintenance/rollout_planner.py
@@ -18,7 +18,7 @@
 from stoatgw.maintenance.rollout_state import RolloutState, RolloutStep, StepState
 
 # What a machine was first seen to be; an absent member is recorded by its identity instead.
-OUT = "out"
+OUT_OF_SERVICE = "out"
 EVACUATED = "empty"
 ENDED = "ended"
 
@@ -45,7 +45,7 @@
 
     name: str
     start_ms: int
-    machines_out: frozenset[str] = frozenset()
+    machines_out_of_service: frozenset[str] = frozenset()
     machines_evacuated: frozenset[str] = frozenset()
 
 
@@ -83,20 +83,22 @@
 class _FleetCapacity:
     """How many machines do not serve now, of how many."""
 
-    servers_out: int
-    proxies_out: int
+    unavailable_servers: int
+    unavailable_proxies: int
     zone_sizes: Counter[str]
-    zone_out: Counter[str]
+    unavailable_by_zone: Counter[str]
 
     @classmethod
     def measure(cls, fleet: FleetSnapshot, unavailable: set[str]) -> _FleetCapacity:
         """Count what is unavailable, session servers by zone."""
-        proxies_out = sum(name.startswith(PROXY_PREFIX) for name in unavailable)
+        unavailable_proxies = sum(name.startswith(PROXY_PREFIX) for name in unavailable)
         return cls(
-            servers_out=len(unavailable) - proxies_out,
-            proxies_out=proxies_out,
+            unavailable_servers=len(unavailable) - unavailable_proxies,
+            unavailable_proxies=unavailable_proxies,
             zone_sizes=Counter(machine.zone for machine in fleet.machines.values()),
-            zone_out=Counter(machine.zone for name, machine in fleet.machines.items() if name in unavailable),
+            unavailable_by_zone=Counter(
+                machine.zone for name, machine in fleet.machines.items() if name in unavailable
+            ),
         )
 
 
@@ -116,7 +118,7 @@
         """The next change, if one is due."""
         self.blocked_reason = ""
         for name, step in state.steps.items():
-            if step.state is not StepState.OUT:
+            if step.state is not StepState.OUT_OF_SERVICE:
                 self._elapsed_s(now_us, name, ENDED)
             elif (change := self._advance_step(state, name, fleet, now_us)) is not None:
                 return change
@@ -125,7 +127,7 @@
         remaining = [name for name in self._plan.machines if name not in state.steps]
         if remaining:
             return self._start_step(state, remaining, fleet, now_us)
-        if state.machines_out():
+        if state.machines_out_of_service():
             return None
         return RolloutChange(replace(state, is_finished=True), RolloutEvent.ROLLOUT_FINISHED)
 
@@ -139,13 +141,13 @@
         final = self._final_state(state, name, fleet, now_us)
         if final is None and not step.is_evacuated:
             return self._confirm_by_members(state, name, fleet, now_us)
-        if final is None and self._has_rested(name, now_us):
+        if final is None and self._evacuation_completes_step(name, now_us):
             final = StepState.DONE
         if final is None:
             return None
         return RolloutChange(state.with_step(name, replace(step, state=final)), END_EVENTS[final], name)
 
-    def _has_rested(self, name: str, now_us: int) -> bool:
+    def _evacuation_completes_step(self, name: str, now_us: int) -> bool:
         """Whether an evacuated machine is done by that alone."""
         if self._plan.completion != "empty":
             return False
@@ -153,7 +155,7 @@
 
     def _final_state(self, state: RolloutState, name: str, fleet: FleetSnapshot, now_us: int) -> StepState | None:
         """How a step has ended, whatever its members have confirmed; None while it goes on."""
-        elapsed_s = self._elapsed_s(now_us, name, OUT)
+        elapsed_s = self._elapsed_s(now_us, name, OUT_OF_SERVICE)
         if state.is_aborted:
             return StepState.RELEASED
         machine = fleet.find(name)
@@ -176,7 +178,7 @@
             return None
         members = [fleet.members[identity] for identity in fleet.concerned_members(name)]
         if not step.is_notified:
-            if not all(name in member.machines_out for member in members):
+            if not all(name in member.machines_out_of_service for member in members):
                 return None
             return RolloutChange(
                 state.with_step(name, replace(step, is_notified=True)), RolloutEvent.STEP_NOTIFIED, name
@@ -214,34 +216,41 @@
                 continue
             self.blocked_reason = self._violated_bound(name, machine, capacity)
             if not self.blocked_reason:
-                return self._take_out(state, name, machine, fleet)
+                return self._new_step(state, name, machine, fleet)
         return None
 
     def _violated_bound(self, name: str, machine: MachineStatus, capacity: _FleetCapacity) -> str:
         """The bound that would be violated if a machine were taken out now; "" for none."""
         plan = self._plan
         if name.startswith(PROXY_PREFIX):
-            return "proxies_out_most proxies are out" if capacity.proxies_out >= plan.max_proxies_out else ""
-        if capacity.servers_out >= plan.max_servers_out:
+            return (
+                "proxies_out_most proxies are out"
+                if capacity.unavailable_proxies >= plan.max_unavailable_proxies
+                else ""
+            )
+        if capacity.unavailable_servers >= plan.max_unavailable_servers:
             return "out_most session servers are out"
-        max_zone_out = floor(plan.max_zone_fraction * capacity.zone_sizes[machine.zone] + ROUNDING_TOLERANCE)
-        if capacity.zone_out[machine.zone] + 1 > max_zone_out:
+        max_unavailable_in_zone = floor(plan.max_zone_fraction * capacity.zone_sizes[machine.zone] + ROUNDING_TOLERANCE)
+        if capacity.unavailable_by_zone[machine.zone] + 1 > max_unavailable_in_zone:
             return f"zone_share of {machine.zone or 'its zone'} is out, or allows none"
         return ""
 
     def _unavailable_machines(self, state: RolloutState, fleet: FleetSnapshot, now_us: int) -> set[str]:
         """All that do not serve now: out by a step, back for less than the settling time, or down by themselves."""
-        unavailable = set(state.machines_out())
+        unavailable = set(state.machines_out_of_service())
         for name, step in state.steps.items():
-            if step.state is not StepState.OUT and self._elapsed_s(now_us, name, ENDED) < self._plan.settle_s:
+            if (
+                step.state is not StepState.OUT_OF_SERVICE
+                and self._elapsed_s(now_us, name, ENDED) < self._plan.settle_s
+            ):
                 unavailable.add(name)
         return unavailable | {name for name, machine in fleet.machines.items() if not machine.is_serving}
 
     @staticmethod
-    def _take_out(state: RolloutState, name: str, machine: MachineStatus, fleet: FleetSnapshot) -> RolloutChange:
+    def _new_step(state: RolloutState, name: str, machine: MachineStatus, fleet: FleetSnapshot) -> RolloutChange:
         """A new step; whoever writes it adds the fencing token and the time."""
         step = RolloutStep(
-            state=StepState.OUT,
+            state=StepState.OUT_OF_SERVICE,
             token=0,
             started_at_ms=0,
             machine_start_ms=machine.start_ms,
--- a/stoatgw/maintenance/rollout_state.py
+++ b/stoatgw/maintenance/rollout_state.py
@@ -30,9 +30,9 @@
 
 
 class StepState(Enum):
-    """Where a machine's step has got to; all but OUT are final."""
+    """Where a machine's step has got to; all but OUT_OF_SERVICE are final."""
 
-    OUT = "out"
+    OUT_OF_SERVICE = "out"
     DONE = "done"
     LATE = "late"  # it timed out
     RELEASED = "released"  # the maintenance was aborted while the machine was out
@@ -68,9 +68,9 @@
     is_aborted: bool = False
     is_finished: bool = False
 
-    def machines_out(self) -> list[str]:
+    def machines_out_of_service(self) -> list[str]:
         """The machines that are out now."""
-        return [name for name, step in self.steps.items() if step.state is StepState.OUT]
+        return [name for name, step in self.steps.items() if step.state is StepState.OUT_OF_SERVICE]
 
     def with_step(self, name: str, step: RolloutStep) -> RolloutState:
         """The state with one machine's step added or replaced."""
--- a/stoatgw/membership/lease_holder.py
+++ b/stoatgw/membership/lease_holder.py
@@ -18,7 +18,7 @@
 
 SAFETY_MARGIN_US = 500_000  # a holder gives up so long before the engine would: clock drift, late event-loop turns
 RENEWALS_PER_TTL = 3
-LONG_AGO_US = -(10**12)
+DISTANT_PAST_US = -(10**12)
 
 
 class LeaseHolder:
@@ -42,7 +42,7 @@
         self._ttl_s = ttl_s
         self._now_us = now_us
         self._state = LeaseState(SAFETY_MARGIN_US)
-        self._last_call_us = LONG_AGO_US
+        self._last_call_us = DISTANT_PAST_US
         self.lease_id = 0
 
     @property
--- a/stoatgw/membership/lease_state.py
+++ b/stoatgw/membership/lease_state.py
@@ -24,7 +24,7 @@
     """ACQUIRE or RENEW was carried out: held under a token, for a term that began when the engine carried it out."""
 
     token: int
-    term_us: int
+    lease_ttl_us: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,8 +83,8 @@
         call = self.pending_call
         ended = replace(self, pending_call=None)
         match result:
-            case LeaseGranted(token, term_us) if call is LeaseCall.ACQUIRE or token == self.token:
-                valid_until_us = self.sent_us + term_us - self.safety_margin_us
+            case LeaseGranted(token, lease_ttl_us) if call is LeaseCall.ACQUIRE or token == self.token:
+                valid_until_us = self.sent_us + lease_ttl_us - self.safety_margin_us
                 return replace(ended, token=token, valid_until_us=valid_until_us, is_uncertain=False)
             case LeaseFound(token) if call is LeaseCall.LOOKUP:
                 # Its term began at an unknown time: it must be renewed before the first write.
--- a/stoatgw/shared_health_checks/checker.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -13,7 +13,7 @@
 from stoatgw.controller.messages import HealthCheckCompleted, Message, MessageQueue
 from stoatgw.membership import etcd_api
 from stoatgw.membership.client import CallFailure, CoordinationStore
-from stoatgw.membership.lease_holder import LONG_AGO_US, LeaseHolder
+from stoatgw.membership.lease_holder import DISTANT_PAST_US, LeaseHolder
 from stoatgw.membership.reconcile_loop import Condition, ConditionLog, run_reconcile_loop
 from stoatgw.shared_health_checks.assignment import HealthCheckAssignment
 from stoatgw.shared_health_checks.published import OwnResults, PeerResults
@@ -94,7 +94,7 @@
         self._own_results = OwnResults(self._max_report_age_us)
         self._peer_results = PeerResults()
         self._last_snapshot_us = 0  # when the call was sent that got it; 0: none yet
-        self._last_member_us = LONG_AGO_US  # when a snapshot last had this proxy among the members
+        self._last_member_us = DISTANT_PAST_US  # when a snapshot last had this proxy among the members
         self._was_sharing = False
 
     @property
--- a/tests/rollouts.py
+++ b/tests/rollouts.py
@@ -24,14 +24,14 @@
     zone_sizes = Counter(zones.values())
     previous_states = [RolloutState(plan_fingerprint=plan.fingerprint), *history]
     for before, after in zip(previous_states, history, strict=False):
-        servers_out = [name for name in after.machines_out() if name in zones]
-        assert len(servers_out) <= plan.max_servers_out
-        assert len(after.machines_out()) - len(servers_out) <= plan.max_proxies_out
-        zone_out = Counter(zones[name] for name in servers_out)
+        unavailable_servers = [name for name in after.machines_out_of_service() if name in zones]
+        assert len(unavailable_servers) <= plan.max_unavailable_servers
+        assert len(after.machines_out_of_service()) - len(unavailable_servers) <= plan.max_unavailable_proxies
+        unavailable_by_zone = Counter(zones[name] for name in unavailable_servers)
         for zone, size in zone_sizes.items():
-            assert zone_out[zone] <= plan.max_zone_fraction * size
+            assert unavailable_by_zone[zone] <= plan.max_zone_fraction * size
         for name, step in before.steps.items():
             assert name in after.steps
-            assert step.state is StepState.OUT or after.steps[name] == step
+            assert step.state is StepState.OUT_OF_SERVICE or after.steps[name] == step
     tokens = [step.token for step in history[-1].steps.values()]
     assert tokens == sorted(tokens)  # an old leader starts nothing after a new one has
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -30,7 +30,7 @@
     return MaintenancePlan(
         name="p",
         machines=tuple(zones),
-        max_servers_out=data.draw(st.integers(1, 3)),
+        max_unavailable_servers=data.draw(st.integers(1, 3)),
         completion=data.draw(st.sampled_from(["empty", "restarted"])),
         max_zone_fraction=data.draw(st.sampled_from([0.34, 0.67, 1.0])),
         min_members=1,
@@ -88,10 +88,12 @@
         elif act == "regain member":
             self.members.setdefault(identity, ProxyMember(identity, 0))
         elif member is not None and act == "take out":
-            out = frozenset(self.state.machines_out())
+            out = frozenset(self.state.machines_out_of_service())
             self.members[identity] = ProxyMember(identity, 0, out, member.machines_evacuated & out)
         elif member is not None:
-            self.members[identity] = ProxyMember(identity, 0, member.machines_out, member.machines_out)
+            self.members[identity] = ProxyMember(
+                identity, 0, member.machines_out_of_service, member.machines_out_of_service
+            )
 
     def _change_server(self, act: str, server: str) -> None:
         if act == "server down":
@@ -100,7 +102,7 @@
             self.machines[server] = MachineStatus(self.zones[server], True, self.now_us)
 
     def _may_be_worked_on(self, server: str) -> bool:
-        return server in self.state.machines_out() and self.state.steps[server].is_evacuated
+        return server in self.state.machines_out_of_service() and self.state.steps[server].is_evacuated
 
     def _step(self) -> None:
         change = self.planner.next_change(self.state, FleetSnapshot(self.machines, self.members), self.now_us)
@@ -115,7 +117,7 @@
             # Those down by themselves count as well: the fleet cannot spare more.
             down = {name for name, machine in self.machines.items() if not machine.is_serving}
             assert self.members
-            assert len(down | set(change.state.machines_out())) <= self.plan.max_servers_out
+            assert len(down | set(change.state.machines_out_of_service())) <= self.plan.max_unavailable_servers
         if change.event is RolloutEvent.STEP_EVACUATED:
             assert change.state.steps[change.machine].is_notified
             assert all(change.machine in member.machines_evacuated for member in self.members.values())
@@ -137,7 +139,7 @@
 def make_step(*, is_notified: bool = False) -> RolloutStep:
     """A machine that is out."""
     return RolloutStep(
-        state=StepState.OUT,
+        state=StepState.OUT_OF_SERVICE,
         token=1,
         started_at_ms=0,
         machine_start_ms=1,
@@ -196,7 +198,7 @@
     aborted = RolloutState(plan_fingerprint=LOST_MEMBER_PLAN.fingerprint, steps=first_step.steps, is_aborted=True)
     released = planner.next_change(aborted, WITHOUT_N1, 7 * SECOND_US)
     assert released is not None
-    assert released.state.machines_out() == []
+    assert released.state.machines_out_of_service() == []
     assert planner.next_change(released.state, WITHOUT_N1, 9**12) is None
 
 
--- a/tests/test_maintenance_controller.py
+++ b/tests/test_maintenance_controller.py
@@ -49,7 +49,7 @@
     def __init__(self, machines: dict[str, MachineStatus]) -> None:
         self._machines = machines
 
-    def set_servers_out(self, servers: dict[str, int]) -> None: ...
+    def set_suspended_servers(self, servers: dict[str, int]) -> None: ...
     def start_drain(self) -> None: ...
     def cancel_drain(self) -> None: ...
 
@@ -160,7 +160,7 @@
         if not self.history:
             return
         for name, step in self.history[-1].steps.items():
-            if step.state is StepState.OUT and step.is_evacuated:
+            if step.state is StepState.OUT_OF_SERVICE and step.is_evacuated:
                 self.machines[name] = MachineStatus("a", True, self.now_us)
 
     def finish_pass(self, index: int) -> None:
@@ -224,15 +224,15 @@
         history = walk(folder, seed).history
         if history:
             reached.update(step.state for step in history[-1].steps.values())
-    assert reached.keys() >= {StepState.OUT, StepState.DONE}
+    assert reached.keys() >= {StepState.OUT_OF_SERVICE, StepState.DONE}
 
 
 def suspend_before_write(world: World) -> None:
     """The first controller has done a machine, and is about to write its next step; the write is on its way."""
-    while not (world.history and world.history[-1].machines_out()):
+    while not (world.history and world.history[-1].machines_out_of_service()):
         world.now_us += SECOND_US
         world.finish_pass(0)
-    while world.history[-1].machines_out():
+    while world.history[-1].machines_out_of_service():
         world.work_on_machines()
         world.now_us += SECOND_US
         world.finish_pass(0)
@@ -271,8 +271,8 @@
     answer(world.store, etcd_api.TRANSACTION_PATH, request, world.now_us)
     world.carry_out(0)
     assert world.history[-1].is_aborted
-    assert not world.history[-1].machines_out()
+    assert not world.history[-1].machines_out_of_service()
     for _ in range(20):
         world.now_us += SECOND_US
         world.finish_pass(0)
-    assert not world.history[-1].machines_out()
+    assert not world.history[-1].machines_out_of_service()
--- a/tests/test_maintenance_run.py
+++ b/tests/test_maintenance_run.py
@@ -24,7 +24,7 @@
 PLAN = MaintenancePlan(
     name="p",
     machines=("s-0", "s-1", "s-2", "s-3"),
-    max_servers_out=2,
+    max_unavailable_servers=2,
     max_zone_fraction=0.5,
     min_members=1,
     step_timeout_s=60.0,
@@ -43,7 +43,7 @@
 def is_notified(snapshot: StoreSnapshot) -> bool:
     """A step is under way, and all proxies know of it."""
     rollout = snapshot.rollout
-    return rollout is not None and any(rollout.steps[name].is_notified for name in rollout.machines_out())
+    return rollout is not None and any(rollout.steps[name].is_notified for name in rollout.machines_out_of_service())
 
 
 async def wait_for_leader(run: MaintenanceRun) -> StoreSnapshot:
@@ -120,7 +120,7 @@
         assert [step.state for step in rollout.steps.values()] == [StepState.DONE] * 4
         # By those who did the work, whatever the state says: each machine once, never three at a time.
         assert run.work_counts == Counter(PLAN.machines)
-        assert run.max_servers_down <= PLAN.max_servers_out
+        assert run.max_servers_down <= PLAN.max_unavailable_servers
         assert run.clients.tally.lost == 0
         assert set(run.clients.tally.answers) <= {"UP", "BUSY"}
 
@@ -176,7 +176,9 @@
         assert status == 0
         assert printed.startswith("aborted; ")
         snapshot = await run.wait_for(
-            lambda found: found.rollout is not None and found.rollout.is_aborted and not found.rollout.machines_out()
+            lambda found: (
+                found.rollout is not None and found.rollout.is_aborted and not found.rollout.machines_out_of_service()
+            )
         )
         assert snapshot.rollout is not None
         assert {step.state for step in snapshot.rollout.steps.values()} == {StepState.RELEASED}
@@ -220,6 +222,6 @@
         assert snapshot is not None
         assert snapshot.rollout is None
         assert max(run.work_counts.values()) == 1
-        assert run.max_servers_down <= PLAN.max_servers_out
+        assert run.max_servers_down <= PLAN.max_unavailable_servers
 
     run_maintenance(tmp_path, PLAN, test)
--- a/tests/test_stored_rollouts.py
+++ b/tests/test_stored_rollouts.py
@@ -47,7 +47,7 @@
         expected_members=(),
     ),
     "s-out": RolloutStep(
-        state=StepState.OUT,
+        state=StepState.OUT_OF_SERVICE,
         token=57,
         started_at_ms=1764640093000,
         machine_start_ms=1764600000003,
@@ -56,7 +56,7 @@
         is_evacuated=True,
     ),
 }
-ENDED_STEPS = {name: step for name, step in STEPS.items() if step.state is not StepState.OUT}
+ENDED_STEPS = {name: step for name, step in STEPS.items() if step.state is not StepState.OUT_OF_SERVICE}
 
 
 @pytest.mark.parametrize(
@@ -138,9 +138,9 @@
     plan = MaintenancePlan(
         name="2026-12-kernel",
         machines=("s-done", "proxy/n1"),
-        max_servers_out=2,
+        max_unavailable_servers=2,
         max_zone_fraction=0.5,
-        max_proxies_out=2,
+        max_unavailable_proxies=2,
         min_members=3,
         completion="empty",
         step_timeout_s=120.0,
