--- a/stoatgw/cli/main.py
+++ b/stoatgw/cli/main.py
@@ -20,7 +20,7 @@
 from stoatgw.cli.maintain import maintain
 from stoatgw.config.errors import ConfigError, report_config_error
 
-STATUS_UNUSABLE = 2
+STATUS_INVALID_INPUT = 2
 STATUS_INTERRUPTED = 130
 
 
@@ -82,11 +82,11 @@
         return exit_request.exit_code
     except click.exceptions.NoArgsIsHelpError as error:
         click.echo(error.format_message(), err=True)
-        return STATUS_UNUSABLE
+        return STATUS_INVALID_INPUT
     except click.ClickException as error:
         message = " ".join(error.format_message().split())
         click.echo(f"stoatgw: {message}", err=True)
-        return STATUS_UNUSABLE
+        return STATUS_INVALID_INPUT
     except ConfigError as error:
         return report_config_error(error)
     return 0 if status is None else int(status)
--- a/stoatgw/config/__init__.py
+++ b/stoatgw/config/__init__.py
@@ -1,5 +1,5 @@
-"""Configuration: LB_CONFIG, which is the platform's, and the operators' own TOML file.
+"""Configuration: the platform's LB_CONFIG (JSON) and the operators' file (TOML).
 
-Promises checked, immutable records, and `ConfigError` with file, field and reason for whatever cannot be used.
-What the settings mean, and when a file is read anew, is left to the parts that are configured.
+Returns validated, immutable records, and raises `ConfigError` with file, field and reason for invalid configuration.
+The configured packages decide what the settings mean and when a file is reloaded.
 """
--- a/stoatgw/config/deployment.py
+++ b/stoatgw/config/deployment.py
@@ -1,4 +1,4 @@
-"""LB_CONFIG, the platform's JSON file, into the `Deployment` that a proxy starts with."""
+"""Parses LB_CONFIG, the platform's JSON file, into the `Deployment` that a proxy starts with."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """A TCP endpoint; `host` is an address or a name."""
+    """A TCP endpoint; `host` is an IP address or a host name."""
 
     host: str
     port: int
@@ -35,23 +35,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What a proxy is configured with at its start.
+    """The platform's configuration of a proxy, read when the proxy starts.
 
     Attributes:
-        name: The proxy's own name, unique among the proxies.
+        name: The proxy's name, unique among the proxies.
         listen_address: Where clients connect.
-        discovery_address: Where the endpoint list is watched.
-        seed: Seed of all random draws.
-        max_sockets: Limit of open descriptors, over 0.
-        initial_endpoints: The endpoint list as the platform knows it, in discovery's JSON; None without one.
+        discovery_address: The discovery service, whose endpoint list is watched.
+        seed: Seed of the random generators.
+        max_sockets: Limit of open file descriptors, greater than 0.
+        initial_endpoints: The platform's endpoint list in discovery's JSON; None if LB_CONFIG has none.
         settings: The site's settings for the decisions.
         zones: Zone names by index.
         machine_types: Machine types by index.
-        dial_timeout_us: Timeout of a connect to a session server, over 0.
-        idle_timeout_us: How long an unused server connection is kept, over 0.
+        dial_timeout_us: Timeout of a connect to a session server, greater than 0.
+        idle_timeout_us: How long an unused server connection is kept, greater than 0.
         reports_message_delay: Whether message delays are measured for the decisions.
         reports_session_load: Whether session loads are measured for the decisions.
-        management_address: The operators' own address; there is no such listener without one.
+        management_address: Address of the management API; None disables the API.
     """
 
     name: str
@@ -74,16 +74,16 @@
     """Read LB_CONFIG's file; LB_MANAGEMENT in the environment overrides the management address.
 
     Raises:
-        ConfigError: The file cannot be read, is no JSON, or holds what cannot be used.
+        ConfigError: The file cannot be read, is not JSON, or contains an invalid value.
     """
     try:
         data = orjson.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(f"cannot read {path}: {error.strerror}", file=LB_CONFIG) from error
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"{path} is no JSON: {error}", file=LB_CONFIG) from error
+        raise ConfigError(f"{path} is not JSON: {error}", file=LB_CONFIG) from error
     deployment = parse_deployment(data)
-    # A second process on one machine may be given the same file, and a management address of its own in this variable.
+    # Two processes on one machine may share the file; the variable then gives the second its own management address.
     override = os.environ.get(LB_MANAGEMENT)
     if not override:
         return deployment
@@ -91,10 +91,10 @@
 
 
 def parse_deployment(data: Any) -> Deployment:
-    """Check the parsed JSON of LB_CONFIG.
+    """Validate the parsed JSON of LB_CONFIG.
 
     Raises:
-        ConfigError: A field is missing, of another type or out of its bounds.
+        ConfigError: A field is missing, has the wrong type or is out of range.
     """
     if not isinstance(data, dict):
         raise ConfigError("not a JSON object", file=LB_CONFIG)
@@ -131,12 +131,12 @@
     """Parse `host:port`.
 
     Raises:
-        ConfigError: `text`, the value of `field`, is no such pair.
+        ConfigError: `text`, the value of `field`, is not `host:port`.
     """
     host, found, port = text.rpartition(":")
     is_number = port.isascii() and port.isdigit()
     if not found or not host or not is_number or not 0 < int(port) <= MAX_PORT:
-        raise ConfigError(f"{text[:60]!r} is no host:port", field=field)
+        raise ConfigError(f"{text[:60]!r} is not host:port", field=field)
     return Address(host, int(port))
 
 
@@ -169,7 +169,7 @@
     try:
         number = int(float(value))
     except (TypeError, ValueError, OverflowError) as error:
-        raise ConfigError(f"{str(value)[:40]!r} is no number", field=field) from error
+        raise ConfigError(f"{str(value)[:40]!r} is not a number", field=field) from error
     if number <= 0:
-        raise ConfigError("must be over 0", field=field)
+        raise ConfigError("must be greater than 0", field=field)
     return number
--- a/stoatgw/config/errors.py
+++ b/stoatgw/config/errors.py
@@ -1,4 +1,4 @@
-"""What is raised for configuration that cannot be used, and the one place that turns it into a line for people."""
+"""The exception for invalid configuration, and its report on standard error."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class ConfigError(ValueError):
-    """A configuration cannot be used.
+    """A configuration is invalid.
 
     Attributes:
         reason: What is wrong, in a few words.
-        field: The field's path as the file spells it, or empty where no single field is to blame.
-        file: The file, or the environment variable that names it; empty where the caller knows it from the field.
+        field: The field's path as the file spells it; empty if the error is not in a single field.
+        file: The file, or the environment variable that names it; empty if the field identifies it.
     """
 
     def __init__(self, reason: str, *, field: str = "", file: str = "") -> None:
@@ -24,6 +24,6 @@
 
 
 def report_config_error(error: ConfigError) -> int:
-    """Print the error as one line on standard error; returns the exit status."""
+    """Print the error as one line on standard error and return the exit status."""
     print(f"stoatgw: {error}", file=sys.stderr)
     return CONFIG_ERROR_STATUS
--- a/stoatgw/config/maintenance.py
+++ b/stoatgw/config/maintenance.py
@@ -1,4 +1,4 @@
-"""The `[maintenance]` table of the operators' file: the plan of a rolling maintenance, checked by its types."""
+"""The `[maintenance]` table of the operators' file: the plan of a rolling maintenance, validated by its types."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
 Machine = Annotated[str, msgspec.Meta(pattern=r"^(proxy/)?[A-Za-z0-9_.-]{1,128}$")]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=86_400.0)]
-PROXY_PREFIX = "proxy/"  # before the name of a proxy; the other machines are session servers, by their id
+PROXY_PREFIX = "proxy/"  # marks a proxy's name; machines without it are session servers, named by their id
 
 TOML_NAMES = {
     "max_unavailable_servers": "out_most",
@@ -26,20 +26,22 @@
 
 
 class MaintenancePlan(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=TOML_NAMES):
-    """Which machines, how many at once, how long each, and what counts as done.
+    """Which machines are maintained, how many at once, for how long, and when a step is complete.
 
     Attributes:
-        name: Names the maintenance: another name is another maintenance, begun from its first machine.
-        machines: Session servers and proxies, in the order in which they are taken out.
-        max_unavailable_servers: How many session servers may be out at once.
-        max_zone_fraction: How much of each zone's session servers may be out at once, rounded down.
-        max_unavailable_proxies: How many proxies may be out at once.
-        min_members: No step begins while fewer proxies are members at the engine.
-        completion: A step is done when nobody uses the machine any more, or when discovery lists a later start.
-        step_timeout_s: After so long a machine is brought back as late.
-        min_evacuated_s: How long a machine stays out once it is evacuated; only with `completion` "empty".
-        settle_s: How long a machine that is back still counts as out, since it may be warming up.
-        member_loss_timeout_s: A proxy that is lost during a step counts as dead after so long.
+        name: Identifies the maintenance; a plan with another name starts from its first machine.
+        machines: Session servers and proxies, in the order in which they are taken out of service.
+        max_unavailable_servers: Maximum number of session servers out of service at once.
+        max_zone_fraction: Maximum share of each zone's session servers out of service at once, rounded down.
+        max_unavailable_proxies: Maximum number of proxies out of service at once.
+        min_members: No step starts while fewer proxies are members at the coordination engine.
+        completion: "empty": a step completes when no proxy uses the machine any more; "restarted": when discovery
+            lists a later start time.
+        step_timeout_s: After this time a step ends as late and the machine returns to service.
+        min_evacuated_s: How long a machine stays out of service once it is evacuated; only with `completion` "empty".
+        settle_s: How long a machine that has returned to service still counts as unavailable, since it may be
+            warming up.
+        member_loss_timeout_s: A proxy that is lost during a step counts as dead after this time.
     """
 
     name: Name
@@ -57,13 +59,13 @@
     def __post_init__(self) -> None:
         duplicates = sorted({name for name in self.machines if self.machines.count(name) > 1})
         if duplicates:
-            raise ValueError(f"machines: {duplicates[0]} comes twice")
+            raise ValueError(f"machines: {duplicates[0]} is listed twice")
         if self.min_evacuated_s and self.completion != "empty":
-            raise ValueError('rest_s: only with done = "empty"')
+            raise ValueError('rest_s: only allowed with done = "empty"')
         if self.min_evacuated_s >= self.step_timeout_s:
-            raise ValueError("rest_s: not under step_s, every machine would be late")
+            raise ValueError("rest_s: must be less than step_s, or every step would time out")
 
     @property
     def fingerprint(self) -> str:
-        """Identifies the plan's content: proxies whose plans share a name but not this do not act on each other's."""
+        """Digest of the plan: a proxy ignores a rollout whose plan has the same name but another fingerprint."""
         return hashlib.sha256(orjson.dumps(msgspec.to_builtins(self), option=orjson.OPT_SORT_KEYS)).hexdigest()[:16]
--- a/stoatgw/config/membership.py
+++ b/stoatgw/config/membership.py
@@ -1,4 +1,4 @@
-"""The `[membership]` table of the operators' file. Only a proxy whose operators turn it on loads this."""
+"""The `[membership]` table of the operators' file."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class MembershipConfig(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=TOML_NAMES):
-    """Where the coordination engine is and how long a lease lasts; docs/membership.md has the arithmetic.
+    """The coordination engine's addresses and the timing of leases; docs/membership.md derives the limits.
 
     Attributes:
         endpoints: Addresses of one engine, `host:port`.
-        scope: The prefix of all keys; one for each deployment.
-        lease_ttl_s: A dead proxy's leases are free after so long.
+        scope: The prefix of all keys; differs for each deployment.
+        lease_ttl_s: A lease's time to live, after which the leases of a dead proxy expire.
         poll_interval_ms: The pause between two reads of the engine.
         call_timeout_ms: The timeout of one call.
     """
@@ -35,6 +35,8 @@
     call_timeout_ms: Annotated[int, msgspec.Meta(ge=50, le=10_000)] = 600
 
     def __post_init__(self) -> None:
-        # A renewal comes every third of a lease, after a read; one lost call may not cost the lease.
+        # A lease is renewed after a read, every third of its time to live; one lost call must not let it expire.
         if 3 * (self.poll_interval_ms + 2 * self.call_timeout_ms) > 1000 * self.lease_ttl_s:
-            raise ValueError("lease_s: under three times look_ms and two call_ms: one lost call would end it")
+            raise ValueError(
+                "lease_s: under three times the sum of look_ms and two call_ms: one lost call would end it"
+            )
--- a/stoatgw/config/operators.py
+++ b/stoatgw/config/operators.py
@@ -1,6 +1,6 @@
-"""The operators' own file (TOML): all that is ours and not the platform's. With none, nothing of it is loaded.
+"""The operators' file (TOML): settings of this project that the platform's LB_CONFIG does not have.
 
-Every field has a default that leaves the program as it is without a file.
+The file is optional. Every field but `version` has a default, which keeps the behaviour without a file.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
     Attributes:
         version: The format's version.
-        rebalance: Limits of migrations towards balance.
-        membership: The coordination store; None runs each proxy for itself.
-        maintenance: A rolling maintenance; needs `membership`.
-        shared_health_checks: Health checks shared among the proxies, `[sharing]` in the file; needs `membership`.
+        rebalance: Limits of the migrations that rebalance load.
+        membership: The coordination engine; with None the proxies do not coordinate.
+        maintenance: A rolling maintenance; requires `membership`.
+        shared_health_checks: Health checks shared among the proxies, `[sharing]` in the file; requires `membership`.
     """
 
     version: Literal[1]
@@ -36,22 +36,24 @@
 
     def __post_init__(self) -> None:
         if self.maintenance is not None and self.membership is None:
-            raise ValueError("membership: missing, and maintenance needs an engine to settle its order by")
+            raise ValueError("membership: missing, but maintenance needs a coordination engine")
         if self.shared_health_checks is None:
             return
         if self.membership is None:
-            raise ValueError("membership: missing, and sharing needs an engine to publish by")
-        # A published result is up to two polls old when it is read, and may count as one poll older than it is.
-        least_stale_ms = self.shared_health_checks.check_interval_ms + 3 * self.membership.poll_interval_ms
-        if self.shared_health_checks.takeover_delay_ms < least_stale_ms:
-            raise ValueError("sharing.stale_ms: under probe_ms and three times look_ms: all would always stand in")
+            raise ValueError("membership: missing, but sharing needs a coordination engine")
+        # A published result is up to two polls old when it is read, and its age may be overestimated by one poll.
+        min_takeover_delay_ms = self.shared_health_checks.check_interval_ms + 3 * self.membership.poll_interval_ms
+        if self.shared_health_checks.takeover_delay_ms < min_takeover_delay_ms:
+            raise ValueError(
+                "sharing.stale_ms: under probe_ms plus three times look_ms: each proxy would take over all"
+            )
 
 
 def load_operator_config(path: str) -> OperatorConfig:
-    """Read and check the operators' file.
+    """Read and validate the operators' file.
 
     Raises:
-        ConfigError: The file cannot be read, is no TOML, or holds what cannot be used.
+        ConfigError: The file cannot be read, is not TOML, or contains an invalid value.
     """
     tables = (OperatorConfig, RebalanceLimits, MembershipConfig, MaintenancePlan, SharedHealthChecksConfig)
     return convert(load_toml(Path(path)), OperatorConfig, path, file_field_names(tables))
--- a/stoatgw/config/settings.py
+++ b/stoatgw/config/settings.py
@@ -1,4 +1,4 @@
-"""Settings of the decisions from path=value pairs, as the simulator's wire and LB_CONFIG both give them."""
+"""Parses the decisions' settings from path=value pairs, as given by the simulator's wire and by LB_CONFIG."""
 
 from __future__ import annotations
 
@@ -13,13 +13,17 @@
 E = TypeVar("E", bound=Enum)
 
 ABSENT = "-"  # an optional setting without a value
-UNLIMITED = "null"  # an item of a list of numbers that sets no limit
+UNLIMITED = "null"  # an item without a limit in a list of limits
 BOOLEANS = {"true": True, "1": True, "false": False, "0": False}
 NO_REPORTS = "off"
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Nested JSON as the wire's pairs: plain lists joined with commas, lists of objects counted."""
+    """Flatten nested JSON into path=value pairs.
+
+    A list of scalars becomes one value, joined with commas; a list of objects becomes one path for each index, and
+    `path.count`.
+    """
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
         for name, item in value.items():
@@ -46,38 +50,38 @@
 class _SettingsReader:
     """Typed access to path=value pairs. A path without a default is required.
 
-    All methods raise SettingsError with the path of a setting that is missing or cannot be read.
+    All methods raise SettingsError with the path of a setting that is missing or cannot be parsed.
     """
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self._pairs = pairs
 
     def integer(self, path: str, default: int | None = None) -> int:
-        """A whole number; a fraction is cut off."""
+        """Read an integer; a fraction is truncated."""
         return self._read(path, _parse_integer, default)
 
     def number(self, path: str, default: float | None = None) -> float:
-        """A finite number."""
+        """Read a finite number."""
         return self._read(path, _parse_number, default)
 
     def flag(self, path: str) -> bool:
-        """A boolean, false by default."""
+        """Read a boolean, false by default."""
         return self._read(path, BOOLEANS.__getitem__, False)
 
     def text(self, path: str, default: str) -> str:
-        """Any text."""
+        """Read a text."""
         return self._read(path, str, default)
 
     def choice(self, path: str, kind: type[E], default: E | None = None) -> E:
-        """A member of an enumeration, by its value."""
+        """Read a member of an enumeration by its value."""
         return self._read(path, kind, default)
 
     def names(self, path: str) -> tuple[str, ...]:
-        """A list of names, empty by default."""
+        """Read a list of names separated by commas, empty by default."""
         return self._read(path, _parse_names, ())
 
     def limits(self, path: str) -> tuple[float, ...]:
-        """Numbers, with infinity where the list sets no limit."""
+        """Read a list of limits separated by commas, empty by default; an item without a limit is infinity."""
         return self._read(path, _parse_limits, ())
 
     def _read(self, path: str, parse: Callable[[str], T], default: T | None) -> T:
@@ -115,7 +119,7 @@
     """Build the settings from path=value pairs; unknown paths are ignored.
 
     Raises:
-        SettingsError: A setting is missing, cannot be read, or is out of its bounds.
+        SettingsError: A setting is missing, cannot be parsed, or is out of range.
     """
     reader = _SettingsReader(pairs)
     return Settings(
--- a/stoatgw/config/shared_health_checks.py
+++ b/stoatgw/config/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""The `[sharing]` table of the operators' file. Only a proxy whose operators turn it on loads this."""
+"""The `[sharing]` table of the operators' file."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 class SharedHealthChecksConfig(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, rename=TOML_NAMES
 ):
-    """Each session server is health checked by one proxy for all.
+    """Settings of shared health checks: one proxy checks a session server on behalf of all.
 
     Attributes:
-        check_interval_ms: The interval between two checks of a server, by all proxies together.
-        takeover_delay_ms: When a server has gone unchecked for so long the next proxy in its order takes over, the
-            one after that at twice the delay, and so on.
-        max_report_age_ms: A published result that may be older is not handed to the decisions.
+        check_interval_ms: The interval between two checks of a server, across all proxies.
+        takeover_delay_ms: When a server has not been checked for this time, the next proxy in the server's ranking
+            takes over; the one after that at twice the delay, and so on.
+        max_report_age_ms: A published result that may be older than this is not passed to the decisions.
     """
 
     check_interval_ms: Milliseconds = 250
--- a/stoatgw/config/toml.py
+++ b/stoatgw/config/toml.py
@@ -1,4 +1,4 @@
-"""TOML files into checked records: what is wrong is raised as an error that names the file and the field."""
+"""Converts TOML files into validated records; errors name the file and the field."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from stoatgw.config.errors import ConfigError
 
 T = TypeVar("T")
-MAX_FILE_BYTES = 1 << 20  # such a file is a page or two; guards against being handed a dump
+MAX_FILE_BYTES = 1 << 20  # a configuration file has a page or two; rejects a dump passed by mistake
 MAX_REASON_CHARACTERS = 200
 
 
@@ -22,7 +22,7 @@
     """Read a TOML file.
 
     Raises:
-        ConfigError: The file is too large, cannot be read, or is no TOML.
+        ConfigError: The file is too large, cannot be read, or is not TOML.
     """
     file = str(path)
     try:
@@ -31,13 +31,13 @@
     except OSError as error:
         raise ConfigError(f"cannot be read: {error.strerror}", file=file) from error
     if data is None:
-        raise ConfigError(f"the file holds {size_bytes} bytes, over {MAX_FILE_BYTES}", file=file)
+        raise ConfigError(f"the file has {size_bytes} bytes, over {MAX_FILE_BYTES}", file=file)
     try:
         return tomllib.loads(data.decode())
     except UnicodeDecodeError as error:
         raise ConfigError(f"byte {error.start} is not UTF-8", file=file) from error
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        raise ConfigError(f"is no TOML: {str(error)[:MAX_REASON_CHARACTERS]}", file=file) from error
+        raise ConfigError(f"is not TOML: {str(error)[:MAX_REASON_CHARACTERS]}", file=file) from error
 
 
 def convert(data: dict[str, Any], kind: type[T], source: str, names: Iterable[str]) -> T:
@@ -46,11 +46,11 @@
     Args:
         data: The parsed file.
         kind: The record's type, a `msgspec.Struct`.
-        source: The file, as errors name it.
-        names: The known fields; the nearest of them is offered for an unknown one.
+        source: The file's name for errors.
+        names: The known fields; the error for an unknown field suggests the nearest one.
 
     Raises:
-        ConfigError: A field is unknown, missing, of another type or out of its bounds.
+        ConfigError: A field is unknown, missing, has the wrong type or is out of range.
     """
     try:
         return msgspec.convert(data, kind)
@@ -60,12 +60,12 @@
 
 
 def file_field_names(tables: Iterable[type[msgspec.Struct]]) -> list[str]:
-    """The fields of some records as files spell them, for `convert`."""
+    """List the fields of records as files spell them, for `convert`."""
     return [name for table in tables for name in table.__struct_encode_fields__]
 
 
 def _explain(text: str, names: Iterable[str]) -> tuple[str, str]:
-    """Take the field and the reason out of a msgspec message; an unknown field gets the nearest known name."""
+    """Split a msgspec message into field and reason; for an unknown field the reason suggests the nearest name."""
     message, found, path = text.partition(" - at `$.")
     field = path.rstrip("`") if found else ""
     unknown = re.search(r"unknown field `([^`]*)`", message)
--- a/stoatgw/simulator_wire/__init__.py
+++ b/stoatgw/simulator_wire/__init__.py
@@ -1,5 +1,5 @@
-"""The simulator's side: lines on standard input and output in place of sockets, and the same decisions behind them.
+"""Adapter for the platform's simulator: the proxy's decisions behind lines on standard input and output.
 
-Promises the platform's wire byte for byte, and an error that names line and field for input that breaks it.
-It decides nothing: events go to `stoatgw.decisions`, and its actions are written in the order in which they come.
+Speaks the platform's line format byte for byte; the error for malformed input names the line and the field.
+It passes events to `stoatgw.decisions` and writes the actions in the order in which the decisions return them.
 """
--- a/stoatgw/simulator_wire/__main__.py
+++ b/stoatgw/simulator_wire/__main__.py
@@ -1,4 +1,4 @@
-"""Start the simulator's side: `python -m stoatgw.simulator_wire`."""
+"""Entry point of `python -m stoatgw.simulator_wire`."""
 
 import sys
 
--- a/stoatgw/simulator_wire/decoder.py
+++ b/stoatgw/simulator_wire/decoder.py
@@ -1,4 +1,4 @@
-"""From the simulator's lines to the events of the decisions."""
+"""Decodes the simulator's lines into events of the decisions."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Decoder:
-    """Reads the lines between TURN and GO; keeps the numbered endpoint lists of the process."""
+    """Decodes the lines between TURN and GO; keeps the numbered endpoint lists, which all instances share."""
 
     def __init__(self) -> None:
         self._pages: dict[int, tuple[Endpoint, ...]] = {}
@@ -48,20 +48,20 @@
         self._missing_rows = 0
 
     def decode_turn(self, line: str, line_number: int) -> int:
-        """Read the line that opens a batch; returns the clock in microseconds.
+        """Decode the line that opens a batch and return its time in microseconds.
 
         Raises:
-            WireError: It is no TURN line.
+            WireError: It is not a TURN line.
         """
         if line.partition(SEPARATOR)[0] != "TURN":
             raise WireError(f"line {line_number}: expected TURN, found {line[:40]!r}")
         return FieldReader(line, line_number, 1).integer("now_us")
 
     def decode(self, line: str, line_number: int) -> Message | None:
-        """Read one line of a batch; None for the lines of a numbered list and for metrics of an unknown topic.
+        """Decode one line of a batch; None for the lines of a numbered list and for metrics of an unknown topic.
 
         Raises:
-            WireError: The line cannot be read.
+            WireError: The line is malformed.
         """
         keyword = line.partition(SEPARATOR)[0]
         if self._missing_rows and keyword != "ROW":
@@ -73,10 +73,10 @@
         return decode(self, FieldReader(line, line_number, field_count))
 
     def finish_batch(self, line_number: int) -> None:
-        """Check at GO that no list lacks rows.
+        """Check at GO that the last numbered list is complete.
 
         Raises:
-            WireError: One does.
+            WireError: Rows of the list are missing.
         """
         if self._missing_rows:
             raise WireError(f"line {line_number}: GO came with {self._missing_rows} ROW lines missing")
@@ -224,7 +224,7 @@
     def _decode_peer_message(self, fields: FieldReader) -> Delivery:
         return Delivery(fields.integer("i"), PeerMessage(fields.integer("sender"), fields.payload("payload")))
 
-    # By keyword: how many fields the line has (None: any number), and what decodes them.
+    # By keyword: the number of fields (None: any number), and the method that decodes them.
     _DECODERS: ClassVar[dict[str, tuple[int | None, Callable[[Decoder, FieldReader], Message | None]]]] = {
         "POOL": (2, _decode_page),
         "ROW": (7, _decode_endpoint),
@@ -244,7 +244,7 @@
 
 
 def _decode_options(options: int) -> dict[str, bool]:
-    """The flags of a `Request`, by their names."""
+    """Decode the option bits into keyword arguments of `Request`."""
     return {
         "hint_valid": bool(options & OPTION_HINT_VALID),
         "is_client_retry": bool(options & OPTION_CLIENT_RETRY),
--- a/stoatgw/simulator_wire/encoder.py
+++ b/stoatgw/simulator_wire/encoder.py
@@ -1,4 +1,4 @@
-"""From the actions of the decisions to lines for the simulator."""
+"""Encodes the actions of the decisions as lines for the simulator."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 
 def encode(instance: int, action: Action) -> str:
-    """One action of an instance as a line, without its end."""
+    """Encode an action of an instance as a line without its line end."""
     keyword, fields = _ENCODINGS[type(action)]
     return SEPARATOR.join([keyword, str(instance), *map(str, fields(action))])
 
 
 def encode_crash(instance: int, reason: str) -> str:
-    """The line that reports a crash of an instance's decision code."""
+    """Encode the line that reports an exception in an instance's decisions."""
     return f"FATAL\t{instance}\t{_one_line(reason)}"
 
 
@@ -50,7 +50,7 @@
 def _encoding(
     kind: type[A], keyword: str, fields: Callable[[A], Fields]
 ) -> tuple[type, tuple[str, Callable[[Any], Fields]]]:
-    """An entry of the table; typed, so that `fields` is checked against its kind of action."""
+    """Return an entry of the encoding table; lets the type checker match `fields` with the type of action."""
     return kind, (keyword, fields)
 
 
--- a/stoatgw/simulator_wire/errors.py
+++ b/stoatgw/simulator_wire/errors.py
@@ -1,7 +1,7 @@
-"""What is raised for input that breaks the wire's grammar."""
+"""The exception for malformed input."""
 
 from __future__ import annotations
 
 
 class WireError(ValueError):
-    """A line cannot be read; the message names the line and the field."""
+    """A line is malformed; the message names the line and the field."""
--- a/stoatgw/simulator_wire/host.py
+++ b/stoatgw/simulator_wire/host.py
@@ -1,4 +1,4 @@
-"""Hosts isolated balancer instances behind standard input and output. It decides nothing."""
+"""Hosts isolated balancer instances behind standard input and output."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class BalancerHost:
-    """Some balancer instances, and the batch that is being read."""
+    """The balancer instances of the process, and the batch that is being read."""
 
     def __init__(self) -> None:
         self._decoder = Decoder()
         self._instances: dict[int, Balancer] = {}
-        self._now_us: int | None = None  # of the batch's TURN; None between two batches
+        self._now_us: int | None = None  # the time in the batch's TURN line; None between two batches
         self._replies: list[str] = []
 
     @property
     def is_in_batch(self) -> bool:
-        """Whether a batch was opened and its GO has not come."""
+        """Whether a batch was opened and its GO line is still to come."""
         return self._now_us is not None
 
     def receive_line(self, line: str, line_number: int) -> str | None:
-        """Handle one line; returns the answer to the batch at its GO, and None before.
+        """Handle one line; return the answer to the batch at its GO line, None for other lines.
 
         Raises:
-            WireError: The line cannot be read, or names an instance that does not run.
+            WireError: The line is malformed, or names an instance that is not running.
         """
         if self._now_us is None:
             if line:
@@ -60,7 +60,7 @@
         return answer
 
     def _run(self, message: Start | Delivery, now_us: int, line_number: int) -> None:
-        """Let an instance act; a fault of its code is reported and ends nothing."""
+        """Pass a message to its instance; an exception in the decisions is reported, and the process continues."""
         if isinstance(message, Delivery) and message.instance not in self._instances:
             raise _not_running(message.instance, line_number)
         try:
@@ -85,7 +85,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batch after batch until the input ends.
+    """Answer batches until the input ends.
 
     Raises:
         WireError: The input is malformed, or ends inside a batch.
@@ -101,7 +101,7 @@
 
 
 def main() -> int:
-    """Run the host on standard input and output; the exit status is 0 when the input ended in good order."""
+    """Run the host on standard input and output; return the exit status, 0 if the input was valid to its end."""
     gc.freeze()
     for stream in (sys.stdin, sys.stdout):
         if isinstance(stream, io.TextIOWrapper):
--- a/stoatgw/simulator_wire/messages.py
+++ b/stoatgw/simulator_wire/messages.py
@@ -1,4 +1,4 @@
-"""What the simulator tells the process between TURN and GO."""
+"""The messages that the simulator sends between TURN and GO."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A balancer instance starts."""
+    """Start a balancer instance."""
 
     instance: int
     seed: int
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stop:
-    """A balancer instance was killed."""
+    """Remove a balancer instance, which was killed."""
 
     instance: int
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -287,8 +287,8 @@
         (PLAIN + "[[fleet.kinds]]\nname = 'a'\nshare = 0.4", "fleet.kinds: the shares add up to 0.400"),
         ('version = 2\nname = "x"', "version: "),
         ("name = 'x'", "the file: "),
-        ("a = [", "is no TOML"),
-        ("x" * 10_000_000, "the file holds 10000000 bytes"),
+        ("a = [", "is not TOML"),
+        ("x" * 10_000_000, "the file has 10000000 bytes"),
     ],
 )
 def test_a_bad_scenario_is_one_line_that_names_the_field(tmp_path: Path, text: str, expected: str) -> None:
--- a/tests/test_rebalance.py
+++ b/tests/test_rebalance.py
@@ -222,7 +222,7 @@
         ("version = 1\n[rebalnace]", "rebalnace: unknown field; nearest known name: rebalance"),
         ("version = 1\n[rebalance]\nover = 2.0", "rebalance.over: "),
         ("version = 1\n[rebalance]\nunder_wya = 2", "under_wya: unknown field; nearest known name: under_way"),
-        ("version = [", "is no TOML"),
+        ("version = [", "is not TOML"),
     ],
 )
 def test_an_invalid_operators_file_is_reported_in_one_line(tmp_path: Path, text: str, expected: str) -> None:
--- a/tests/test_simulator_wire.py
+++ b/tests/test_simulator_wire.py
@@ -1,4 +1,4 @@
-"""The wire's lines, both ways, and the host's loop."""
+"""The simulator's lines in both directions, and the host that answers batches of them."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
     return message.event
 
 
-def test_a_request_line_becomes_a_request() -> None:
+def test_a_request_line_is_decoded() -> None:
     line = "ACCEPT\t3\t1f7a7d575d3a91c4\t12000\t1\t0\t240000\t4050608788307276\t0\t4569004829183723"
     assert decode(line) == Request(
         request_id="1f7a7d575d3a91c4",
@@ -90,7 +90,7 @@
     assert not bare.hint_valid
 
 
-def test_lines_become_events() -> None:
+def test_lines_are_decoded_into_events() -> None:
     assert decode("BEGUN\t3\taa\t9250\t0\tserver.x") == AttemptEstablished("aa", 0, "server.x", 9250)
     assert decode("CHANGE\t3\taa\t0\tserver.x\t1\t0.5") == SessionMetric(
         "aa", 0, "server.x", SessionMetricKind.LOAD, 0.5
@@ -101,7 +101,8 @@
     assert getattr(decode(existing), "server", None) == "server.x"
 
 
-def test_lists_are_resolved_in_the_order_of_events() -> None:
+def test_an_update_refers_to_the_latest_list_of_its_number() -> None:
+    """A list number may be redefined in a batch: an update before it has the old list, one after it the new one."""
     decoder = Decoder()
     lines = ["POOL\t0\t1", "ROW\t1.5\ton\t0\tserver.a\t61\t0\t1", "DIRECTORY_UPDATE\t3\tdisk\t41\t0"]
     lines += ["POOL\t0\t1", "ROW\t-\tfading\t-\tserver.b\t-\t0\t2", "DIRECTORY_UPDATE\t3\tdiff\t42\t0"]
@@ -117,7 +118,7 @@
     assert updates[1][0].weight == 1.0
 
 
-def test_settings_are_read_from_pairs() -> None:
+def test_settings_are_parsed_from_pairs() -> None:
     start = Decoder().decode(START_LINE, 1)
     assert isinstance(start, Start)
     assert start.seed == 7
@@ -149,7 +150,7 @@
         read_settings(pairs)
 
 
-def test_actions_become_lines() -> None:
+def test_actions_are_encoded_as_lines() -> None:
     assert encode(3, Send("aa", "server.x", 99)) == "TRANSMIT\t3\taa\tserver.x\t99"
     assert encode(3, Cancel("aa", 1)) == "CANCEL\t3\taa\t1"
     assert encode(3, Reject("aa", 250_000)) == "SHED\t3\taa\t250000"
@@ -165,7 +166,7 @@
     assert encode(3, Log("two\tservers\nknown")) == "NOTE_DOWN\t3\ttwo servers known"
 
 
-def test_every_action_has_a_line() -> None:
+def test_each_action_has_its_own_keyword() -> None:
     samples: dict[type, Action] = {
         Send: Send("aa", "s", 1),
         Cancel: Cancel("aa", 1),
@@ -211,7 +212,7 @@
         ("NEW_INSTANCE\t0\t7\tbalancers=3", "field settings: setting profiles.count is missing"),
     ],
 )
-def test_a_malformed_line_is_named_in_the_error(line: str, reason: str) -> None:
+def test_the_error_for_a_malformed_line_names_line_and_field(line: str, reason: str) -> None:
     with pytest.raises(WireError) as caught:
         run_host("TURN\t1", line, "GO")
     assert reason in str(caught.value)
@@ -231,8 +232,8 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def run_day(instances: list[int]) -> dict[int, list[str]]:
-    """The actions of some instances that live in one process."""
+def run_instances(instances: list[int]) -> dict[int, list[str]]:
+    """Run instances in one host and return the action lines of each."""
     lines = ["TURN\t1000000", "POOL\t0\t3"]
     lines += [f"ROW\t1\ton\t0\tserver.{name}\t-\t0\t{zone}" for name, zone in (("a", 1), ("b", 1), ("c", 2))]
     for instance in instances:
@@ -256,16 +257,16 @@
     return actions
 
 
-def test_instances_act_alike_together_and_apart() -> None:
-    together = run_day([0, 1, 2])
-    apart = run_day([0]) | run_day([1]) | run_day([2])
+def test_instances_in_one_host_do_not_affect_each_other() -> None:
+    together = run_instances([0, 1, 2])
+    apart = run_instances([0]) | run_instances([1]) | run_instances([2])
     assert together == apart
     assert any("TRANSMIT" in line for line in together[0])
 
 
 def test_a_stopped_instance_keeps_no_state() -> None:
-    list_lines = ["POOL\t0\t1", "ROW\t1\ton\t0\tserver.a\t-\t0\t2", "DIRECTORY_UPDATE\t0\tdisk\t1\t0"]
+    endpoint_lines = ["POOL\t0\t1", "ROW\t1\ton\t0\tserver.a\t-\t0\t2", "DIRECTORY_UPDATE\t0\tdisk\t1\t0"]
     request = "ACCEPT\t0\taa\t-\t0\t0\t900000\t-\t0\t-"
-    answer = run_host("TURN\t1", START_LINE, *list_lines, "STOP\t0", START_LINE, request, "GO")
+    answer = run_host("TURN\t1", START_LINE, *endpoint_lines, "STOP\t0", START_LINE, request, "GO")
     assert "SHED\t0\taa" in answer
     assert "TRANSMIT" not in answer
