--- a/stoatgw/membership/__init__.py
+++ b/stoatgw/membership/__init__.py
@@ -1,6 +1,6 @@
-"""Leases in a coordination engine: leadership and membership that one proxy holds for a time, under fencing tokens.
+"""Leases in a coordination engine (etcd): leader election and membership of proxies, with fencing tokens.
 
-`lease_state` is the holder's side as a pure state machine, `lease_holder` carries it out by calls, `fencing` is the
-side that is written to, `reconcile_loop` the polling loop of whoever uses them, and `rendezvous` assigns items to
-members. It promises that no two holders of a lease write at once; what is elected and written is left to its users.
+`lease_state` is the holder's pure state machine and `lease_holder` sends its calls; `fencing` models the check at the
+written resource; `reconcile_loop` is the polling loop of the packages that use leases; `rendezvous` assigns items to
+members. At most one holder of a lease may write at a time. What is elected and written is up to those packages.
 """
--- a/stoatgw/membership/client.py
+++ b/stoatgw/membership/client.py
@@ -1,4 +1,4 @@
-"""Calls to the coordination engine: one connection a call, one deadline, failover between endpoints."""
+"""HTTP client of the coordination engine: one connection for each call, one deadline, failover between endpoints."""
 
 from __future__ import annotations
 
@@ -15,38 +15,43 @@
 from stoatgw.membership.etcd_api import Body
 from stoatgw.sockets import tcp
 
-MAX_RESPONSE_BYTES = 1 << 20  # the rollout state of thousands of machines is well under it
+MAX_RESPONSE_BYTES = 1 << 20  # the rollout state of thousands of machines is much smaller
 RECEIVE_BYTES = 65536
 HTTP_OK = 200
 
 
 @dataclass(frozen=True, slots=True)
 class CallFailure:
-    """A call without a usable response. `may_have_run`: the engine may have carried it out all the same."""
+    """A call without a usable response.
+
+    Attributes:
+        reason: Why there is none.
+        may_have_run: Whether the engine may have carried the call out nevertheless.
+    """
 
     reason: str
     may_have_run: bool
 
 
 class CoordinationStore(Protocol):
-    """Carries out calls: `CoordinationClient`, or a substitute for it in virtual time."""
+    """Sends calls to the coordination engine: `CoordinationClient`, or a substitute in virtual time."""
 
     async def call(self, path: str, body: Body) -> Body | CallFailure:
-        """The response's object, or why there is none."""
+        """Return the response's JSON object, or why there is none."""
         ...
 
 
 class CoordinationClient:
-    """Calls one engine over HTTP; a call ends within its timeout, however the engine behaves."""
+    """Calls one engine over HTTP; each call ends within its timeout, whatever the engine does."""
 
     def __init__(self, endpoints: Sequence[Address], call_timeout_s: float, first_endpoint: int = 0) -> None:
-        """Start with the endpoint at `first_endpoint`, so that many proxies do not all call the same one."""
+        """Start with the endpoint at index `first_endpoint`, so that the proxies spread over the endpoints."""
         self._endpoints = tuple(endpoints)
         self._call_timeout_s = call_timeout_s
         self._current = first_endpoint % len(self._endpoints)
 
     async def call(self, path: str, body: Body) -> Body | CallFailure:
-        """Call one endpoint after the other until one is reached, within one timeout."""
+        """Call the endpoints in turn until one is reached, within one timeout."""
         failure = CallFailure("no endpoint", may_have_run=False)
         try:
             async with asyncio.timeout(self._call_timeout_s) as deadline:
@@ -74,7 +79,7 @@
         sock = tcp.create_socket()
         is_sent = False
         try:
-            # An endpoint behind a broken link does not answer at all: it may not use up the time of the others.
+            # An endpoint behind a broken link never responds: its connect must leave time for the other endpoints.
             async with asyncio.timeout(self._call_timeout_s / (len(self._endpoints) + 1)):
                 await tcp.connect(sock, (address.host, address.port))
             is_sent = True
@@ -103,19 +108,23 @@
         self.status = 0
 
     def on_headers_complete(self) -> None:
-        """Called by the parser."""
+        """Handle the parser's callback."""
         self.status = self._parser.get_status_code()
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser."""
+        """Handle the parser's callback."""
         self.body += data
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Handle the parser's callback."""
         self.is_complete = True
 
     def feed(self, data: bytes) -> None:
-        """Parse more of the response. Raises ValueError."""
+        """Parse more of the response.
+
+        Raises:
+            ValueError: The response is not HTTP, or too large.
+        """
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -132,7 +141,11 @@
 
 
 def _parse_response(response: _ResponseReader) -> Body | CallFailure:
-    """The response's object, or the engine's error. Raises ValueError where the body is no JSON."""
+    """Return the response's JSON object, or the engine's error.
+
+    Raises:
+        ValueError: The body is not JSON.
+    """
     if not response.is_complete:
         return CallFailure("the answer is cut off", may_have_run=True)
     content: Any = orjson.loads(response.body)
@@ -143,6 +156,10 @@
 
 
 def make_client(config: MembershipConfig, first_endpoint: int = 0) -> CoordinationClient:
-    """A client for the operators' settings. Raises ConfigError."""
+    """Make a client from the operators' settings.
+
+    Raises:
+        ConfigError: An endpoint is not `host:port`.
+    """
     endpoints = [parse_address(endpoint, "membership.engine") for endpoint in config.endpoints]
     return CoordinationClient(endpoints, config.call_timeout_ms / 1000, first_endpoint)
--- a/stoatgw/membership/etcd_api.py
+++ b/stoatgw/membership/etcd_api.py
@@ -1,6 +1,6 @@
-"""Requests and responses of etcd v3's published HTTP/JSON interface. No sockets.
+"""Requests and responses of etcd v3's HTTP/JSON API (grpc-gateway), without input or output.
 
-Keys and values travel as base64, 64-bit numbers as strings, and what is zero, false or empty is left out.
+Keys and values are encoded in base64 and 64-bit numbers as strings; zero, false and empty fields are omitted.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class ResponseError(ValueError):
-    """A response cannot be read; the message names the field."""
+    """A response is malformed; the message names the field."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """A lease that the engine has granted, and its time to live."""
+    """A lease that the engine granted, and its time to live."""
 
     lease_id: int
     ttl_s: int
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyValue:
-    """A key as the engine holds it, with the revisions of its creation and of its last change."""
+    """A stored key with its value, the revisions of its creation and of its last change, and its lease (0: none)."""
 
     key: str
     value: bytes
@@ -45,57 +45,57 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeSnapshot:
-    """Keys as they were at one revision of the store."""
+    """The entries of a range at one revision of the store."""
 
     revision: int
     entries: tuple[KeyValue, ...] = ()
 
     def get(self, key: str) -> KeyValue | None:
-        """The entry of a key, None where there is none."""
+        """Return the entry of a key, None if there is none."""
         return next((entry for entry in self.entries if entry.key == key), None)
 
 
 @dataclass(frozen=True, slots=True)
 class TransactionResult:
-    """How a transaction ended: whether its comparisons held, and what its reads found."""
+    """The result of a transaction: whether its comparisons held, and the entries that its reads returned."""
 
     succeeded: bool
     snapshot: RangeSnapshot
 
 
 def lease_grant_request(ttl_s: int) -> Body:
-    """The body of a call to LEASE_GRANT_PATH."""
+    """Return the body of a call to LEASE_GRANT_PATH."""
     return {"TTL": str(ttl_s)}
 
 
 def lease_request(lease_id: int) -> Body:
-    """The body of a call to LEASE_KEEP_ALIVE_PATH or LEASE_REVOKE_PATH."""
+    """Return the body of a call to LEASE_KEEP_ALIVE_PATH or LEASE_REVOKE_PATH."""
     return {"ID": str(lease_id)}
 
 
 def key_range(key: str) -> Body:
-    """The body of a call to RANGE_PATH: one key."""
+    """Return the body of a call to RANGE_PATH for one key."""
     return {"key": _encode_key(key)}
 
 
 def prefix_range(prefix: str) -> Body:
-    """The body of a call to RANGE_PATH: all keys with a prefix."""
+    """Return the body of a call to RANGE_PATH for all keys with a prefix."""
     end = prefix[:-1].encode() + bytes([prefix.encode()[-1] + 1])
     return {"key": _encode_key(prefix), "range_end": _encode_base64(end)}
 
 
 def compare_create_revision(key: str, revision: int) -> Body:
-    """A comparison that holds if the key was created at that revision; 0: if there is no such key."""
+    """Return a comparison that holds if the key was created at a revision; with 0, if the key does not exist."""
     return {"key": _encode_key(key), "target": "CREATE", "result": "EQUAL", "create_revision": str(revision)}
 
 
 def compare_mod_revision(key: str, revision: int) -> Body:
-    """A comparison that holds if the key was last changed at that revision; 0: if there is no such key."""
+    """Return a comparison that holds if the key was last changed at a revision; with 0, if the key does not exist."""
     return {"key": _encode_key(key), "target": "MOD", "result": "EQUAL", "mod_revision": str(revision)}
 
 
 def put_operation(key: str, value: bytes, lease_id: int = 0) -> Body:
-    """A write within a transaction; with a lease the key ends with it."""
+    """Return a write within a transaction; a key with a lease is deleted when the lease ends."""
     put = {"key": _encode_key(key), "value": _encode_base64(value)}
     if lease_id:
         put["lease"] = str(lease_id)
@@ -103,17 +103,21 @@
 
 
 def range_operation(keys: Body) -> Body:
-    """A read within a transaction, of a `key_range` or a `prefix_range`."""
+    """Return a read within a transaction, of a `key_range` or a `prefix_range`."""
     return {"request_range": keys}
 
 
 def transaction(compare: Iterable[Body], success: Iterable[Body], failure: Iterable[Body] = ()) -> Body:
-    """The body of a call to TRANSACTION_PATH: `success` if all comparisons hold, else `failure`."""
+    """Return the body of a call to TRANSACTION_PATH: `success` runs if all comparisons hold, else `failure`."""
     return {"compare": list(compare), "success": list(success), "failure": list(failure)}
 
 
 def parse_lease_grant(data: Body) -> LeaseGrant:
-    """The response to a lease grant. Raises ResponseError."""
+    """Parse the response to a lease grant.
+
+    Raises:
+        ResponseError: It is malformed.
+    """
     lease_id = _parse_number(data, "ID")
     ttl_s = _parse_number(data, "TTL")
     if not lease_id or not ttl_s:
@@ -122,17 +126,29 @@
 
 
 def parse_keep_alive(data: Body) -> int:
-    """The lease's time to live in seconds from now, 0 if it has expired. Raises ResponseError."""
+    """Parse the response to a keep-alive: the lease's remaining time to live in seconds, 0 if it has expired.
+
+    Raises:
+        ResponseError: It is malformed.
+    """
     return _parse_number(_require_object(data.get("result", {}), "result"), "TTL")
 
 
 def parse_range(data: Body) -> RangeSnapshot:
-    """The response to a range read. Raises ResponseError."""
+    """Parse the response to a range read.
+
+    Raises:
+        ResponseError: It is malformed.
+    """
     return RangeSnapshot(_parse_revision(data), _parse_entries(data))
 
 
 def parse_transaction(data: Body) -> TransactionResult:
-    """The response to a transaction. Raises ResponseError."""
+    """Parse the response to a transaction.
+
+    Raises:
+        ResponseError: It is malformed.
+    """
     succeeded = data.get("succeeded", False)
     responses = data.get("responses", [])
     if not isinstance(succeeded, bool) or not isinstance(responses, list):
--- a/stoatgw/membership/fencing.py
+++ b/stoatgw/membership/fencing.py
@@ -1,7 +1,7 @@
-"""Fencing at the resource that is written to. Pure.
+"""Fencing at the written resource. Pure.
 
-A lease holder may be suspended between its check and its write, and no clock of its own can tell. The resource can: it
-keeps the highest token it has seen and rejects a write under a lower one.
+A lease holder may be paused between checking its lease and its write, and cannot notice it by its own clock. The
+resource keeps the highest fencing token it has seen and rejects writes with a lower one.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class FencingGuard:
-    """The highest fencing token that has written so far."""
+    """The highest fencing token of the admitted writes."""
 
     highest: int = 0
 
     def admit(self, token: int) -> tuple[FencingGuard, bool]:
-        """The guard after a write under a token, and whether the write takes effect."""
+        """Return the guard after a write with a token, and whether the write is admitted."""
         if token <= 0 or token < self.highest:
             return self, False
         return FencingGuard(token), True
--- a/stoatgw/membership/lease_holder.py
+++ b/stoatgw/membership/lease_holder.py
@@ -1,4 +1,4 @@
-"""One key of the engine held under a lease: a `LeaseState` carried out by calls. Leadership, or a member's own key."""
+"""Holds one key of the engine under a lease, for leader election or membership: sends the calls of a `LeaseState`."""
 
 from __future__ import annotations
 
@@ -16,23 +16,22 @@
     LeaseState,
 )
 
-SAFETY_MARGIN_US = 500_000  # a holder gives up so long before the engine would: clock drift, late event-loop turns
+SAFETY_MARGIN_US = 500_000  # a holder's validity ends before the engine's: covers clock drift and event-loop delays
 RENEWALS_PER_TTL = 3
 DISTANT_PAST_US = -(10**12)
 
 
 class LeaseHolder:
-    """Acquires a key, keeps its lease alive, and writes under its fencing token. Used from one task at a time."""
+    """Acquires a key, keeps its lease alive, and writes with its fencing token. Used from one task at a time."""
 
     def __init__(self, store: CoordinationStore, key: str, value: bytes, ttl_s: int, now_us: Callable[[], int]) -> None:
-        """Hold `key` with `value`, which must be unique to this process.
-
-        By the value an acquire whose response was lost is recognised as this process's own.
+        """Create a holder without a lease.
 
         Args:
-            store: Carries out the calls.
+            store: Sends the calls.
             key: The key to hold.
-            value: Its value.
+            value: The key's value; unique to this process, so that it recognises a key that it acquired by a call
+                whose response was lost.
             ttl_s: The lease's time to live.
             now_us: A monotonic clock.
         """
@@ -47,15 +46,15 @@
 
     @property
     def is_due(self) -> bool:
-        """Whether a call is due: often enough that one or two may be lost."""
+        """Whether a call is due; calls are frequent enough that one or two may be lost."""
         return self._now_us() - self._last_call_us >= self._ttl_s * 1_000_000 // RENEWALS_PER_TTL
 
     def fencing_token(self) -> int:
-        """The token to write under now, or 0. To be asked right before each write."""
+        """Return the token to write with now, or 0. Must be called right before each write."""
         return self._state.valid_token(self._now_us())
 
     async def send_next_call(self) -> CallFailure | None:
-        """Acquire, renew or look up the lease, whichever is next; returns the failure of a call without response."""
+        """Acquire, renew or look up the lease, whichever is next; return the failure of a call without response."""
         self._last_call_us = self._now_us()
         self._state, call = self._state.next_call(self._last_call_us)
         failure: CallFailure | None = None
@@ -83,16 +82,16 @@
         compare: Iterable[etcd_api.Body] = (),
         otherwise: Iterable[etcd_api.Body] = (),
     ) -> etcd_api.TransactionResult | CallFailure:
-        """Carry out operations in one transaction, if the key is still held under a token that is.
+        """Run operations in one transaction, provided that the key is still held with a fencing token.
 
         Args:
-            token: This holder's fencing token, asked for right before.
-            operations: What to carry out.
-            compare: Further comparisons that have to hold.
-            otherwise: What to carry out if one does not hold.
+            token: This holder's fencing token, read right before the call.
+            operations: Run if all comparisons hold.
+            compare: Further comparisons.
+            otherwise: Run if a comparison does not hold.
 
         Raises:
-            ResponseError: The response cannot be read.
+            ResponseError: The response is malformed.
         """
         comparisons = [etcd_api.compare_create_revision(self.key, token), *compare]
         request = etcd_api.transaction(comparisons, operations, otherwise)
@@ -102,7 +101,7 @@
         return etcd_api.parse_transaction(response)
 
     async def release(self) -> None:
-        """Revoke the lease, so that another need not wait for its end. A lost call costs just that wait."""
+        """Revoke the lease, so that others need not wait until it expires. If the call is lost, they wait."""
         lease_id = self.lease_id
         self.lease_id = 0
         self._state = LeaseState(SAFETY_MARGIN_US)
@@ -129,7 +128,7 @@
             return LeaseGranted(result.snapshot.revision, grant.ttl_s * 1_000_000)
         entry = result.snapshot.get(self.key)
         if entry is not None and entry.value == self._value:
-            return LeaseOutcomeUnknown()  # an acquire that was given up has won after all: it is looked up next
+            return LeaseOutcomeUnknown()  # an earlier acquire without response has succeeded; the lookup is next
         await self._store.call(etcd_api.LEASE_REVOKE_PATH, etcd_api.lease_request(grant.lease_id))
         self.lease_id = 0
         return LeaseDenied()
@@ -149,7 +148,7 @@
 
 
 class _CallError(Exception):
-    """A call of a longer exchange has failed."""
+    """A call within a sequence of calls has failed."""
 
     def __init__(self, failure: CallFailure) -> None:
         super().__init__(failure.reason)
--- a/stoatgw/membership/lease_state.py
+++ b/stoatgw/membership/lease_state.py
@@ -1,8 +1,8 @@
-"""One process's side of one lease: what to ask the engine next, and whether it may write now. Pure.
+"""State machine of one process and one lease: the next call to the engine, and whether the process may write. Pure.
 
-Times are microseconds of the process's own monotonic clock. A term counts from when the call that got it was sent: the
-engine counts from later, so the holder's time always ends first, by the safety margin at least. A response that did not
-come proves nothing: the call may have been carried out.
+Times are microseconds of the process's monotonic clock. The holder counts a lease's time to live from when it sent the
+call, the engine from when it received the call, which is later; so validity at the holder ends before the lease does,
+by the safety margin at least. A missing response proves nothing: the engine may have carried the call out.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 class LeaseCall(Enum):
     """A call to the engine."""
 
-    ACQUIRE = "acquire"  # hold the key if nobody does
-    RENEW = "renew"  # hold it for one more term, if it is still held under this token
-    LOOKUP = "lookup"  # whether an acquire without response has won
+    ACQUIRE = "acquire"  # create the key if no process holds it
+    RENEW = "renew"  # extend the lease, if the key is still held with this token
+    LOOKUP = "lookup"  # find out whether an acquire without response has succeeded
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGranted:
-    """ACQUIRE or RENEW was carried out: held under a token, for a term that began when the engine carried it out."""
+    """ACQUIRE or RENEW succeeded: the lease's time to live started when the engine carried the call out."""
 
     token: int
     lease_ttl_us: int
@@ -29,19 +29,19 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseFound:
-    """LOOKUP has found the key held by this very process; for how much longer is not known."""
+    """LOOKUP found the key held by this process; the lease's remaining time is not known."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseDenied:
-    """Somebody else holds the key, or the lease has expired."""
+    """Another process holds the key, or the lease has expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseOutcomeUnknown:
-    """No response came, or none that can be read."""
+    """No response was received, or a malformed one."""
 
 
 LeaseResult = LeaseGranted | LeaseFound | LeaseDenied | LeaseOutcomeUnknown
@@ -49,13 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseState:
-    """A value: each method returns the state that follows.
+    """An immutable state: methods return the next state.
 
     Attributes:
-        safety_margin_us: How much earlier than the engine it gives up; covers clock drift within a term.
-        token: The fencing token of its tenure, or of the last one; 0: none.
-        valid_until_us: It may write before this.
-        pending_call: The call in flight; one at a time.
+        safety_margin_us: How much earlier than at the engine validity ends; covers clock drift during a lease.
+        token: The fencing token of the lease held now, or of the last one; 0: none.
+        valid_until_us: The process may write before this time.
+        pending_call: The call in flight; at most one.
         sent_us: When that call was sent.
         is_uncertain: An acquire had no response.
     """
@@ -68,7 +68,7 @@
     is_uncertain: bool = False
 
     def next_call(self, now_us: int) -> tuple[LeaseState, LeaseCall]:
-        """The next call, sent now. One still in flight is given up: its response must not be recorded any more."""
+        """Return the next call, sent now. A call still in flight is abandoned: its response must not be recorded."""
         if self.is_uncertain or self.pending_call is LeaseCall.ACQUIRE:
             call = LeaseCall.LOOKUP
         elif self.token:
@@ -79,7 +79,7 @@
         return state, call
 
     def record_result(self, result: LeaseResult) -> LeaseState:
-        """The call in flight has ended with a result."""
+        """Return the state after the result of the call in flight."""
         call = self.pending_call
         ended = replace(self, pending_call=None)
         match result:
@@ -87,7 +87,7 @@
                 valid_until_us = self.sent_us + lease_ttl_us - self.safety_margin_us
                 return replace(ended, token=token, valid_until_us=valid_until_us, is_uncertain=False)
             case LeaseFound(token) if call is LeaseCall.LOOKUP:
-                # Its term began at an unknown time: it must be renewed before the first write.
+                # The lease's time to live began at an unknown time: it must be renewed before the first write.
                 return replace(ended, token=token, valid_until_us=0, is_uncertain=False)
             case LeaseOutcomeUnknown():
                 return replace(ended, is_uncertain=self.is_uncertain or call is LeaseCall.ACQUIRE)
@@ -95,5 +95,5 @@
                 return replace(ended, token=0, valid_until_us=0, is_uncertain=False)
 
     def valid_token(self, now_us: int) -> int:
-        """The token to write under now, or 0. To be asked right before each write, never remembered."""
+        """Return the token to write with now, or 0. Must be called right before each write, and not be cached."""
         return self.token if now_us < self.valid_until_us else 0
--- a/stoatgw/membership/reconcile_loop.py
+++ b/stoatgw/membership/reconcile_loop.py
@@ -1,4 +1,4 @@
-"""The polling loop that reconcilers share, and a log of lasting conditions."""
+"""The polling loop of reconcilers, and a log of conditions that last."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     interval_s: float,
     jitter: random.Random,
 ) -> NoReturn:
-    """Reconcile again and again, with a jittered pause in between; a failure of one pass must not end the proxy."""
+    """Reconcile in a loop with a jittered pause; an exception in one pass is reported and does not end the loop."""
     while True:
         try:
             await reconcile()
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """Something that lasts, and the log events of its begin and its end.
+    """A condition that lasts, and the log events of its start and its end.
 
     Attributes:
-        raised_event: Logged when it begins.
-        cleared_event: Logged when it ends; "" for one that is never cleared.
-        logs_each_reason: Whether a change of its reason is logged as well.
+        raised_event: Logged when the condition starts.
+        cleared_event: Logged when it ends; "" for a condition that is never cleared.
+        logs_each_reason: Whether a change of the reason is logged as well.
     """
 
     raised_event: str
@@ -47,21 +47,21 @@
 
 
 class ConditionLog:
-    """Logs a lasting condition once when it begins and once when it ends, rather than at every pass."""
+    """Logs a condition once when it starts and once when it ends, rather than at every pass."""
 
     def __init__(self, log: EventLog) -> None:
         self._log = log
         self._reasons: dict[Condition, str] = {}
 
     def report(self, condition: Condition, reason: str) -> None:
-        """The condition holds for a reason, or with "" does not hold."""
+        """Record that the condition holds for a reason, or with "" that it does not hold."""
         if reason:
             self._raise(condition, reason)
         else:
             self.clear(condition)
 
     def clear(self, condition: Condition) -> None:
-        """The condition does not hold."""
+        """Record that the condition does not hold."""
         if self._reasons.pop(condition, None) is not None:
             self._log.event(condition.cleared_event)
 
--- a/stoatgw/membership/rendezvous.py
+++ b/stoatgw/membership/rendezvous.py
@@ -1,7 +1,7 @@
-"""Assignment of items to live members: rendezvous hashing with weights and bounded loads. Pure.
+"""Assignment of items to live members: weighted rendezvous hashing with bounded loads. Pure.
 
-Every process that sees the same members finds the same assignment, and a member that joins or is lost moves little else
-than its own part.
+Processes that see the same members compute the same assignment. A member that joins or is lost moves few other items
+than its own.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from hashlib import blake2b
 from math import ceil, log
 
-MAX_LOAD_FACTOR = 1.25  # no member is assigned over so many times its fair part
+MAX_LOAD_FACTOR = 1.25  # limit of a member's load, as a multiple of its fair share
 
 
 def rank_members(item: str, weights: Mapping[str, float]) -> list[str]:
-    """All members in their order for an item, the nearest first; a weight of two is first twice as often."""
+    """Rank the members for an item, nearest first; a member with twice the weight is first twice as often."""
     return sorted(weights, key=lambda member: (_distance(item, member) / weights[member], member))
 
 
@@ -25,7 +25,7 @@
 
 
 def assign(items: Iterable[str], weights: Mapping[str, float]) -> dict[str, list[str]]:
-    """For each item its assignee, then the members that take over, in order; members at their limit come last."""
+    """Return for each item its assignee, then the members that take over in order; members at their limit come last."""
     names = sorted(items)
     total_weight = sum(weights.values()) or 1.0
     limits = {member: ceil(MAX_LOAD_FACTOR * len(names) * weight / total_weight) for member, weight in weights.items()}
--- a/stoatgw/simulator_wire/encoder.py
+++ b/stoatgw/simulator_wire/encoder.py
@@ -22,7 +22,7 @@
 )
 from stoatgw.simulator_wire.fields import ABSENT, SEPARATOR
 
-A = TypeVar("A", bound=Action)
+ActionT = TypeVar("ActionT", bound=Action)
 ALL_PEERS = "*"
 Fields = tuple[str | int, ...]
 
@@ -48,7 +48,7 @@
 
 
 def _encoding(
-    kind: type[A], keyword: str, fields: Callable[[A], Fields]
+    kind: type[ActionT], keyword: str, fields: Callable[[ActionT], Fields]
 ) -> tuple[type, tuple[str, Callable[[Any], Fields]]]:
     """Return an entry of the encoding table; lets the type checker match `fields` with the type of action."""
     return kind, (keyword, fields)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,7 @@
-"""The lease state machine explored: calls in any order, lost calls and responses, processes that pause, and expiry."""
+"""Exhaustive exploration of the lease state machine.
+
+Covers calls in any order, lost calls and responses, paused processes, and expiring leases.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
     LeaseState,
 )
 
-TERM = 2
+LEASE_TTL = 2
 SAFETY_MARGIN = 1
 LAST_TIME = 3
 MAX_TOKENS = 2
@@ -29,9 +32,9 @@
 @dataclass(frozen=True)
 class Process:
     state: LeaseState = NO_LEASE
-    call: LeaseCall | None = None  # on its way to the engine
-    response: LeaseResult | None = None  # on its way back
-    write_token: int = 0  # of a write that was allowed and is not carried out yet: suspended in between
+    call: LeaseCall | None = None  # in flight to the engine
+    response: LeaseResult | None = None  # in flight back to the process
+    write_token: int = 0  # of a write that was allowed and not carried out yet: the process is paused in between
 
 
 @dataclass(frozen=True)
@@ -52,7 +55,7 @@
 
 
 def normalize(world: World) -> World:
-    """One of the worlds from which the same can follow: what is over or unused is zero, and names do not matter."""
+    """Return the representative of equivalent worlds: expired and unused values are zero, processes are sorted."""
     normalized = []
     for index, process in enumerate(world.processes):
         state = process.state
@@ -72,21 +75,21 @@
 
 
 def carry_out(world: World, index: int, call: LeaseCall) -> tuple[World, LeaseResult]:
-    """The engine carries a process's call out."""
+    """Carry out a process's call at the engine."""
     is_held = world.now < world.expires
     is_holder = is_held and world.holder == index
     if call is LeaseCall.LOOKUP:
         return world, LeaseFound(world.token) if is_holder else LeaseDenied()
     if call is LeaseCall.ACQUIRE and not is_held:
-        after = replace(world, holder=index, token=world.token + 1, expires=world.now + TERM)
-        return after, LeaseGranted(after.token, TERM)
+        after = replace(world, holder=index, token=world.token + 1, expires=world.now + LEASE_TTL)
+        return after, LeaseGranted(after.token, LEASE_TTL)
     if call is LeaseCall.RENEW and is_holder and world.processes[index].state.token == world.token:
-        return replace(world, expires=world.now + TERM), LeaseGranted(world.token, TERM)
+        return replace(world, expires=world.now + LEASE_TTL), LeaseGranted(world.token, LEASE_TTL)
     return world, LeaseDenied()
 
 
 def next_worlds(world: World, *, is_fenced: bool) -> Iterator[World]:
-    """All that may happen next. A process that does nothing more is one that has crashed, or hangs."""
+    """Yield all possible next worlds. A process without further transitions stands for one that crashed or hangs."""
     if world.now < LAST_TIME:
         yield replace(world, now=world.now + 1)
     for index in range(len(world.processes)):
@@ -124,7 +127,7 @@
 
 
 def explore(count: int, *, is_fenced: bool = True) -> tuple[int, set[str]]:
-    """States visited, and what was violated in any. Stops at the first violation."""
+    """Visit all reachable states up to the first violation; return the number of states, and the violations."""
     first = World((Process(),) * count)
     seen = {first}
     pending = [first]
@@ -132,22 +135,22 @@
         world = pending.pop()
         for after in map(normalize, next_worlds(world, is_fenced=is_fenced)):
             if sum(process.state.valid_token(after.now) > 0 for process in after.processes) > 1:
-                return len(seen), {"two may write at once"}
+                return len(seen), {"two processes may write at once"}
             if after.last_written_token < world.last_written_token:
-                return len(seen), {"a write under an old token took effect"}
+                return len(seen), {"a write with an old token took effect"}
             if after not in seen:
                 seen.add(after)
                 pending.append(after)
     return len(seen), set()
 
 
-def test_no_two_hold_a_lease_at_once_in_any_order_of_events() -> None:
+def test_two_processes_never_hold_a_lease_at_once() -> None:
     states, violations = explore(2)
     assert violations == set()
     assert states > 10_000
 
 
-def test_no_two_of_three_hold_a_lease_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_two_of_three_processes_hold_a_lease_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tests.test_membership.LAST_TIME", 2)
     states, violations = explore(3)
     assert violations == set()
@@ -155,20 +158,21 @@
 
 
 def test_without_fencing_an_old_holders_write_takes_effect() -> None:
+    """Fencing is necessary: without it the exploration finds a write by a process whose lease has expired."""
     _, violations = explore(2, is_fenced=False)
-    assert violations == {"a write under an old token took effect"}
+    assert violations == {"a write with an old token took effect"}
 
 
-def test_a_term_that_counts_from_the_response_is_found_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The fault that the exploration is there for: the holder's time begins when the response comes."""
+def test_exploration_finds_a_lease_that_is_counted_from_the_response(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The exploration detects a holder that counts its lease from the response instead of from the call."""
     record_result = LeaseState.record_result
 
-    def record_late(self: LeaseState, result: LeaseResult) -> LeaseState:
+    def record_from_response(self: LeaseState, result: LeaseResult) -> LeaseState:
         state = record_result(self, result)
         if isinstance(result, LeaseGranted):
             return replace(state, valid_until_us=state.valid_until_us + 2)
         return state
 
-    monkeypatch.setattr(LeaseState, "record_result", record_late)
+    monkeypatch.setattr(LeaseState, "record_result", record_from_response)
     _, violations = explore(2)
-    assert violations == {"two may write at once"}
+    assert violations == {"two processes may write at once"}
