--- a/stoatgw/maintenance/__init__.py
+++ b/stoatgw/maintenance/__init__.py
@@ -1,7 +1,7 @@
-"""A rolling maintenance that the proxies carry out by themselves: one machine after the other, never too many out.
+"""Rolling maintenance coordinated by the proxies: takes machines out of service in turn, within the plan's limits.
 
-`rollout_state` is what has been done and `rollout_planner` the next step, both pure; each proxy's `controller` reads
-the state from the coordination engine, takes machines out of its own service and publishes which are evacuated, and the
-leader writes the next step under its fencing token. It promises the plan's bounds and one step for each machine;
-restarting machines is left to staff or the platform, and the leases to `membership`.
+`rollout_state` records the steps and `rollout_planner` plans the next one, both pure. Each proxy's `controller` reads
+the state from the coordination engine, stops using the machines that are out of service and publishes which of them
+are evacuated; the leader writes the next change with its fencing token. The plan's limits hold at all times, and each
+machine has one step. Machines are restarted by staff or the platform; `membership` provides the leases.
 """
--- a/stoatgw/maintenance/controller.py
+++ b/stoatgw/maintenance/controller.py
@@ -1,7 +1,7 @@
-"""One proxy's part in a maintenance: a reconcile loop over snapshots of the engine.
+"""The maintenance controller of one proxy: a reconcile loop over snapshots of the coordination engine.
 
-Each pass reads a snapshot, applies the rollout state to this proxy, publishes its status and, while this proxy leads,
-writes the next change. All of it is safe to do late, twice, or not at all.
+Each pass reads a snapshot, applies the rollout state to this proxy, publishes its status and, while this proxy is the
+leader, writes the next change. Each of these is idempotent, and may be late or fail.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class MaintenanceController:
-    """Reconciles this proxy with the rollout state in the engine. `run` is a task of its own."""
+    """Reconciles this proxy with the rollout state in the engine. `run` runs as a task."""
 
     def __init__(
         self,
@@ -59,13 +59,13 @@
         self._store_revision = 0
 
     def start(self) -> None:
-        """Take out what was out before this process started. To be called before the first endpoint list."""
+        """Take the machines of the persisted state out of service. Must be called before the first endpoint list."""
         if self._state_file is None:
             self._conditions.report(events.STATE_FILE_WRITE_FAILED, "TMPDIR is not set")
             return
         try:
             self._state = self._state_file.load()
-        except RolloutStateFileError as error:  # the engine has it; until it responds nothing is known to be out
+        except RolloutStateFileError as error:  # until the engine responds, no machine is known to be out of service
             self._conditions.report(events.STATE_FILE_READ_FAILED, str(error))
         self._local.apply(self._state)
 
@@ -80,15 +80,15 @@
 
     @property
     def fencing_token(self) -> int:
-        """The leader's token, while this proxy may write under it; else 0."""
+        """The leader's fencing token while this proxy is the leader and may write with it; else 0."""
         return self._leader.fencing_token
 
     async def stop(self) -> None:
-        """The process is stopping: another may lead from now on. Its membership ends with its lease."""
+        """Resign leadership since the process is stopping. Membership ends when its lease expires."""
         await self._leader.resign()
 
     async def reconcile(self) -> None:
-        """One pass: read a snapshot of the engine, and act on it."""
+        """Run one pass: read a snapshot of the engine and act on it."""
         if self._membership_lease.is_due:
             self._report_call(await self._membership_lease.send_next_call())
         snapshot = await self._read_snapshot()
@@ -102,7 +102,7 @@
                 self._report_call(failure)
 
     def _report_call(self, failure: CallFailure | None) -> None:
-        """An engine that does not respond is logged once, and once more when it responds again."""
+        """Log once that the engine does not respond, and once that it responds again."""
         self._conditions.report(events.ENGINE_DISCONNECTED, "" if failure is None else failure.reason)
 
     async def _read_snapshot(self) -> StoreSnapshot | None:
@@ -119,16 +119,16 @@
         return snapshot
 
     def _accept(self, snapshot: StoreSnapshot) -> bool:
-        """Adopt a snapshot's rollout state; whether this proxy may act on the snapshot."""
+        """Adopt a snapshot's rollout state and report whether this proxy may act on the snapshot."""
         if snapshot.revision < self._store_revision:
-            # One response may be stale; an engine that stays behind has lost its state, and nobody may begin anew.
-            self._conditions.report(events.STALE_REVISION, "an older state than one seen before")
+            # One response may be stale. An engine that stays behind has lost data: no proxy may start the rollout anew.
+            self._conditions.report(events.STALE_REVISION, "the snapshot's revision is lower than one seen before")
             return False
         self._conditions.clear(events.STALE_REVISION)
         self._store_revision = snapshot.revision
         if snapshot.rollout is None:
             is_lost = self._state is not None
-            self._conditions.report(events.ROLLOUT_HALTED, "the engine has lost the ledger" if is_lost else "")
+            self._conditions.report(events.ROLLOUT_HALTED, "the engine has lost the rollout state" if is_lost else "")
             return not is_lost
         self._conditions.clear(events.ROLLOUT_HALTED)
         if snapshot.rollout_revision != self._state_revision:
@@ -143,7 +143,7 @@
             return
         try:
             self._state_file.save(state)
-        except RolloutStateFileError as error:  # the engine has it as well
+        except RolloutStateFileError as error:  # not fatal: the engine has the state as well
             self._conditions.report(events.STATE_FILE_WRITE_FAILED, str(error))
         else:
             self._conditions.clear(events.STATE_FILE_WRITE_FAILED)
--- a/stoatgw/maintenance/events.py
+++ b/stoatgw/maintenance/events.py
@@ -8,7 +8,7 @@
 
 
 class RolloutEvent(StrEnum):
-    """What a change of the rollout state means; logged by the leader that wrote it."""
+    """Changes of the rollout state, logged by the leader that wrote them."""
 
     ROLLOUT_STARTED = "maintenance_rollout_started"
     ROLLOUT_FINISHED = "maintenance_rollout_finished"
--- a/stoatgw/maintenance/keys.py
+++ b/stoatgw/maintenance/keys.py
@@ -1,4 +1,4 @@
-"""The engine's keys of a maintenance, and a snapshot of all of them at one revision. Pure."""
+"""The keys of a maintenance at the coordination engine, and a snapshot of them at one revision. Pure."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class MemberStatus(msgspec.Struct, frozen=True, rename=STORED_MEMBER_FIELDS):
-    """What a proxy publishes of itself under its own key.
+    """The status that a proxy publishes under its key.
 
     Attributes:
         name: The proxy's name.
         start_ms: When its process started, in Unix time.
-        machines_out_of_service: The machines that it has taken out.
-        machines_evacuated: Those of them to which it has no connections.
+        machines_out_of_service: The machines that the proxy has taken out of service.
+        machines_evacuated: Those of them to which the proxy has no connections.
     """
 
     name: str
@@ -32,32 +32,32 @@
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceKeys:
-    """The keys of one plan; processes of all versions share them."""
+    """The keys of one plan. Processes of different versions use the same keys, so they never change."""
 
     scope: str
     plan_name: str
 
     @property
     def prefix(self) -> str:
-        """All keys of the plan begin so."""
+        """Prefix of all keys of the plan."""
         return f"{self.scope}/maintenance/{self.plan_name}/"
 
     @property
     def rollout(self) -> str:
-        """The rollout state."""
+        """Key of the rollout state."""
         return self.prefix + "ledger"
 
     @property
     def leader_lease(self) -> str:
-        """Held by the leader."""
+        """Key that the leader holds under its lease."""
         return self.prefix + "duty"
 
     def member(self, identity: str) -> str:
-        """Held by a proxy while it is a member."""
+        """Return the key that a proxy holds under its lease while it is a member."""
         return f"{self.prefix}members/{identity}"
 
     def member_status(self, identity: str) -> str:
-        """A member's published status."""
+        """Return the key of a member's published status."""
         return f"{self.prefix}told/{identity}"
 
 
@@ -68,10 +68,10 @@
     Attributes:
         revision: The store's revision.
         rollout: The rollout state, None before the first write.
-        rollout_revision: The revision of its last change; 0 without one.
-        leader: The leader's identity, "" without one.
-        fencing_token: The leader's fencing token, 0 without one.
-        members: The proxies at the engine, by identity.
+        rollout_revision: The revision of the rollout state's last change, 0 before the first write.
+        leader: The leader's identity, "" without a leader.
+        fencing_token: The leader's fencing token, 0 without a leader.
+        members: The proxies that are members, by identity.
     """
 
     revision: int
@@ -83,12 +83,12 @@
 
 
 def read_store_snapshot(keys: MaintenanceKeys, entries: RangeSnapshot) -> StoreSnapshot:
-    """Read the entries of a plan's keys.
+    """Parse the entries of a plan's keys.
 
-    A member status that cannot be read counts as one without name and machines.
+    A malformed member status counts as one without name and machines.
 
     Raises:
-        RolloutStateError: The rollout state cannot be read.
+        RolloutStateError: The rollout state is malformed.
     """
     rollout = entries.get(keys.rollout)
     leader = entries.get(keys.leader_lease)
@@ -110,7 +110,7 @@
             continue
         identity = entry.key.removeprefix(prefix)
         published = entries.get(keys.member_status(identity))
-        # A member that has published nothing yet has nothing out.
+        # A member that has not published a status yet has taken no machine out of service.
         status = _decode_status(published.value) if published is not None else MemberStatus(identity, 0)
         members[identity] = ProxyMember(
             status.name,
--- a/stoatgw/maintenance/local_proxy_actions.py
+++ b/stoatgw/maintenance/local_proxy_actions.py
@@ -1,4 +1,4 @@
-"""What a maintenance does to this proxy, through the parts that the management API's operations use as well."""
+"""Carries out a maintenance in this proxy, with the same suspension and drain as the management API."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LocalProxyActions:
-    """The actions within the proxy's own process. Called from the maintenance controller's task."""
+    """The `ProxyActions` of the process it runs in. Called from the maintenance controller's task."""
 
     def __init__(self, context: ProxyContext, publisher: EndpointPublisher, suspensions: SuspensionApplier) -> None:
         self._context = context
@@ -21,7 +21,7 @@
         self._suspensions = suspensions
 
     def set_suspended_servers(self, servers: dict[str, int]) -> None:
-        """Suspend exactly these session servers; their sessions are moved within the drain's grace at most."""
+        """Suspend exactly these session servers; their sessions are migrated within the drain grace at most."""
         if servers != self._suspensions.overrides.suspensions_from(SuspensionSource.MAINTENANCE):
             grace_us = self._context.deployment.settings.drain_grace_us
             self._suspensions.apply(servers, SuspensionSource.MAINTENANCE, min(EVACUATION_DURATION_US, grace_us))
@@ -31,21 +31,21 @@
         start_drain(self._context)
 
     def cancel_drain(self) -> None:
-        """Serve again, unless the proxy is shutting down."""
+        """Resume serving, unless the proxy is shutting down."""
         if self._context.lifecycle.resume_serving():
             self._context.log.event("drain_cancelled")
             self._context.controller.post(CancelDrain())
 
     def count_connections(self, server: str) -> int:
-        """Connections of this proxy to a session server, established or being set up."""
+        """Count this proxy's connections to a session server, established or being set up."""
         return self._context.controller.connections_to(server)
 
     def count_clients(self) -> int:
-        """Established sessions of this proxy."""
+        """Count this proxy's established sessions."""
         return len(self._context.established_sessions)
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
-        """The session servers as discovery lists them; empty before its first list."""
+        """Return the session servers that discovery lists; empty before the first list."""
         zones = self._context.deployment.zones
         return {
             entry.name: MachineStatus(
--- a/stoatgw/maintenance/local_rollout.py
+++ b/stoatgw/maintenance/local_rollout.py
@@ -1,4 +1,4 @@
-"""This proxy's own part of a rollout: takes out what the state says, and publishes what is out and evacuated here."""
+"""Applies a rollout to this proxy, and publishes which machines it has taken out of service and evacuated."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class LocalRollout:
-    """Applies a rollout state to this proxy. Safe to apply late or twice."""
+    """Applies rollout states to this proxy; applying one late or twice is harmless."""
 
     def __init__(
         self, settings: MaintenanceSettings, membership_lease: LeaseHolder, actions: ProxyActions, clocks: Clocks
@@ -30,10 +30,10 @@
         self._suspended_since_us: dict[str, int] = {}
         self._is_draining = False
         self._previous_out_of_service: set[str] = set()
-        self._published: tuple[bytes, int] = b"", 0  # the status, and the token under which it was written
+        self._published: tuple[bytes, int] = b"", 0  # the status, and the fencing token with which it was written
 
     def apply(self, state: RolloutState | None) -> None:
-        """Take out what is out by the state, and bring back what is not any more."""
+        """Take the state's machines out of service, and return all others to service."""
         now_us = self._unix_us()
         machines_out_of_service = state.machines_out_of_service() if state is not None else []
         self._suspended_since_us = {
@@ -50,21 +50,26 @@
         self._is_draining = must_drain
 
     def _must_drain(self, state: RolloutState) -> bool:
-        """Whether this very process is out. One that started later is what its proxy was taken out for."""
+        """Whether this process must drain. A process that started after the step was restarted by it and serves."""
         if self._machine_name not in state.machines_out_of_service():
             return False
-        # Both times are by this machine's clock.
+        # Both times are from this machine's clock.
         return self._start_ms <= state.steps[self._machine_name].machine_start_ms
 
     async def publish(self) -> None:
-        """Write this proxy's status under its own membership lease, if it has changed. Raises ResponseError."""
+        """Write this proxy's status under its membership lease, if it has changed.
+
+        Raises:
+            ResponseError: The response is malformed.
+        """
         token = self._lease.fencing_token()
         if not token:
             return
         machines_out_of_service = [*self._suspended_since_us]
         if self._is_draining:
             machines_out_of_service.append(self._machine_name)
-        # Only what was out at the last pass: a request in flight when a machine was taken out counts as there.
+        # Only machines that were out of service at the last pass as well: a request may have been in flight to a
+        # machine when it was taken out.
         evacuated = [
             name
             for name in machines_out_of_service
--- a/stoatgw/maintenance/proxy_actions.py
+++ b/stoatgw/maintenance/proxy_actions.py
@@ -1,4 +1,4 @@
-"""What the maintenance controller needs of the proxy that it runs in."""
+"""The interface between the maintenance controller and the proxy that it runs in."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 class ProxyActions(Protocol):
-    """What the maintenance controller does to its own proxy, and observes through it."""
+    """The maintenance controller's actions on its proxy, and its view of the proxy's connections."""
 
     def set_suspended_servers(self, servers: dict[str, int]) -> None:
-        """Take exactly these session servers out, each since a Unix time in microseconds."""
+        """Suspend exactly these session servers; the values are since when, in Unix microseconds."""
 
     def start_drain(self) -> None:
         """Drain this proxy."""
 
     def cancel_drain(self) -> None:
-        """Serve again."""
+        """Resume serving."""
 
     def count_connections(self, server: str) -> int:
-        """Connections of this proxy to a session server, established or being set up."""
+        """Count this proxy's connections to a session server, established or being set up."""
 
     def count_clients(self) -> int:
-        """Established sessions of this proxy."""
+        """Count this proxy's established sessions."""
 
     def machine_statuses(self) -> dict[str, MachineStatus]:
-        """The session servers as discovery lists them; empty before its first list."""
+        """Return the session servers that discovery lists; empty before the first list."""
--- a/stoatgw/maintenance/rollout_leader.py
+++ b/stoatgw/maintenance/rollout_leader.py
@@ -1,4 +1,4 @@
-"""Leader election among the proxies, and the leader's part: it writes the next change of the rollout."""
+"""Leader election among the proxies; the leader writes the changes of the rollout."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
 from stoatgw.membership.reconcile_loop import ConditionLog
 from stoatgw.telemetry.log import EventLog
 
-BLOCKED_REPORT_DELAY_US = 5_000_000  # a rollout that does not progress is reported after so long, and the settling time
+BLOCKED_REPORT_DELAY_US = 5_000_000  # a rollout is reported as blocked after this time plus the settling time
 
 
 class RolloutLeader:
-    """Campaigns for leadership and, while it holds it, writes one change at a time.
+    """Campaigns for leadership and, while it is the leader, writes one change at a time.
 
-    A change is written under the fencing token, and only over the very state that it was planned from. So neither a
-    leader that was suspended before its write, nor a lost response, nor an abort in between starts a machine twice.
+    A change is written with the fencing token, and only if the stored state is the one it was planned from. So no
+    machine's step is started twice: neither by a leader that was paused before its write, nor after a lost response,
+    nor over an abort in between.
     """
 
     def __init__(
@@ -58,11 +59,11 @@
 
     @property
     def fencing_token(self) -> int:
-        """The token to write under now, or 0."""
+        """The fencing token to write with now, or 0."""
         return self._lease.fencing_token()
 
     async def resign(self) -> None:
-        """Give leadership up for good."""
+        """Release leadership and stop campaigning."""
         self._is_campaigning = False
         await self._lease.release()
 
@@ -81,13 +82,13 @@
             self._log.event(events.LEADERSHIP_LOST, token=token_before)
 
     async def write_next_change(self, snapshot: StoreSnapshot) -> CallFailure | None:
-        """Plan the next change from a snapshot and write it; returns the failure of a write without response.
+        """Plan the next change from a snapshot and write it; return the failure of a write without response.
 
         Raises:
-            ResponseError: The response cannot be read.
+            ResponseError: The response is malformed.
         """
         change = self._plan_change(snapshot)
-        token = self._lease.fencing_token()  # asked right before the write
+        token = self._lease.fencing_token()  # must be read right before the write
         if change is None or not token:
             return None
         state = change.state
@@ -101,7 +102,7 @@
             compare=[etcd_api.compare_mod_revision(self._rollout_key, snapshot.rollout_revision)],
         )
         if isinstance(result, CallFailure):
-            return result  # it may have been written: the next snapshot shows
+            return result  # it may have been written: the next snapshot shows whether it was
         if result.succeeded:
             self._log_change(change, state, token)
         return None
@@ -109,7 +110,7 @@
     def _plan_change(self, snapshot: StoreSnapshot) -> RolloutChange | None:
         state = snapshot.rollout
         if state is not None and state.plan_fingerprint != self._plan.fingerprint:
-            reason = f"another plan of the name {self._plan.name} is under way"
+            reason = f"another plan with the name {self._plan.name} is in progress"
             self._conditions.report(events.PLAN_MISMATCHED, reason)
             return None
         self._conditions.clear(events.PLAN_MISMATCHED)
@@ -118,7 +119,7 @@
             return None
         now_us = self._clocks.monotonic_us()
         if state is None:
-            # Whoever has seen a state that the engine has lost since reports it within a lease's time to live.
+            # A proxy that has seen a state which the engine has lost since reports the loss within a lease's TTL.
             if now_us - self._leader_since_us < self._lease_ttl_us:
                 return None
             return RolloutChange(RolloutState(plan_fingerprint=self._plan.fingerprint), RolloutEvent.ROLLOUT_STARTED)
@@ -127,7 +128,7 @@
         return change
 
     def _report_blocked(self, *, is_blocked: bool, now_us: int) -> None:
-        """A rollout that has not progressed for some time is reported, with the planner's reason."""
+        """Report a rollout that has not progressed for some time, with the planner's reason."""
         reason = self._planner.blocked_reason if is_blocked else ""
         if not reason:
             self._blocked_since_us = 0
--- a/stoatgw/maintenance/rollout_planner.py
+++ b/stoatgw/maintenance/rollout_planner.py
@@ -1,7 +1,7 @@
-"""The next change of a rollout: pure. Only the leader plans; the engine accepts one change at a time.
+"""Plans the next change of a rollout. Pure. Only the leader plans; the engine accepts one change at a time.
 
-Times are the planner's own monotonic microseconds, counted from when it first saw a thing: clocks that differ do not
-matter, and a new leader waits a little longer, never shorter.
+Times are microseconds of the leader's monotonic clock, counted from when its planner first observed a condition: so
+differences between clocks do not matter, and a new leader waits longer than needed, never shorter.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from stoatgw.maintenance.events import RolloutEvent
 from stoatgw.maintenance.rollout_state import RolloutState, RolloutStep, StepState
 
-# What a machine was first seen to be; an absent member is recorded by its identity instead.
+# Conditions of a machine whose first observation is recorded; for an absent member it is the member's identity.
 OUT_OF_SERVICE = "out"
 EVACUATED = "empty"
 ENDED = "ended"
@@ -27,12 +27,12 @@
     StepState.LATE: RolloutEvent.STEP_TIMED_OUT,
     StepState.RELEASED: RolloutEvent.STEP_RELEASED,
 }
-ROUNDING_TOLERANCE = 1e-9  # 0.34 of a hundred servers are 34, whatever the float product is
+ROUNDING_TOLERANCE = 1e-9  # 0.34 of 100 servers are 34, despite the error of floating-point multiplication
 
 
 @dataclass(frozen=True, slots=True)
 class MachineStatus:
-    """A session server as discovery lists it, or a proxy as the engine does."""
+    """A session server as listed by discovery, or a proxy as listed by the coordination engine."""
 
     zone: str
     is_serving: bool
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyMember:
-    """A proxy at the engine: what it has taken out, and to which of that it has no connections."""
+    """A proxy that is a member: the machines it has taken out of service, and those to which it has no connections."""
 
     name: str
     start_ms: int
@@ -51,20 +51,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSnapshot:
-    """What the leader sees now. `members` by identity, which differs for each process."""
+    """The fleet as observed by the leader.
+
+    Attributes:
+        machines: The session servers that discovery lists, by name.
+        members: The proxies that are members, by identity, which differs for each process.
+    """
 
     machines: Mapping[str, MachineStatus]
     members: Mapping[str, ProxyMember]
 
     def find(self, name: str) -> MachineStatus | None:
-        """A session server or a proxy by the name that the plan has for it; None if it is not in service."""
+        """Return a session server or a proxy by its name in the plan; None if it is not listed."""
         if not name.startswith(PROXY_PREFIX):
             return self.machines.get(name)
         start_times_ms = [member.start_ms for member in self.members.values() if PROXY_PREFIX + member.name == name]
         return MachineStatus("", True, max(start_times_ms)) if start_times_ms else None
 
     def concerned_members(self, name: str) -> list[str]:
-        """Identities of the members that a machine's step concerns: all for a session server, a proxy for itself."""
+        """Return the members that confirm a machine's step: all for a session server, a proxy's own for a proxy."""
         if not name.startswith(PROXY_PREFIX):
             return sorted(self.members)
         return sorted(identity for identity, member in self.members.items() if PROXY_PREFIX + member.name == name)
@@ -72,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutChange:
-    """A state to write, and what happened, for the log."""
+    """A rollout state to write, and the event and machine to log."""
 
     state: RolloutState
     event: RolloutEvent
@@ -81,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _FleetCapacity:
-    """How many machines do not serve now, of how many."""
+    """Numbers of unavailable machines, and sizes of the zones."""
 
     unavailable_servers: int
     unavailable_proxies: int
@@ -90,7 +95,7 @@
 
     @classmethod
     def measure(cls, fleet: FleetSnapshot, unavailable: set[str]) -> _FleetCapacity:
-        """Count what is unavailable, session servers by zone."""
+        """Count the unavailable machines, session servers also by zone."""
         unavailable_proxies = sum(name.startswith(PROXY_PREFIX) for name in unavailable)
         return cls(
             unavailable_servers=len(unavailable) - unavailable_proxies,
@@ -103,10 +108,10 @@
 
 
 class RolloutPlanner:
-    """Plans one tenure of a leader.
+    """Plans the changes while one process is the leader.
 
     Attributes:
-        blocked_reason: Why no step begins though machines are left; "" if one does, or none is left.
+        blocked_reason: Why no step starts though machines remain; "" if a step starts, or none remain.
     """
 
     def __init__(self, plan: MaintenancePlan) -> None:
@@ -115,7 +120,7 @@
         self.blocked_reason = ""
 
     def next_change(self, state: RolloutState, fleet: FleetSnapshot, now_us: int) -> RolloutChange | None:
-        """The next change, if one is due."""
+        """Return the next change, if one is due."""
         self.blocked_reason = ""
         for name, step in state.steps.items():
             if step.state is not StepState.OUT_OF_SERVICE:
@@ -132,11 +137,11 @@
         return RolloutChange(replace(state, is_finished=True), RolloutEvent.ROLLOUT_FINISHED)
 
     def _elapsed_s(self, now_us: int, machine: str, condition: str) -> float:
-        """Since a condition of a machine was first seen."""
+        """Seconds since a condition of a machine was first observed; the first call records it."""
         return (now_us - self._first_seen_us.setdefault((machine, condition), now_us)) / 1e6
 
     def _advance_step(self, state: RolloutState, name: str, fleet: FleetSnapshot, now_us: int) -> RolloutChange | None:
-        """The next change of a step that is under way."""
+        """Return the next change of a step in progress."""
         step = state.steps[name]
         final = self._final_state(state, name, fleet, now_us)
         if final is None and not step.is_evacuated:
@@ -148,18 +153,18 @@
         return RolloutChange(state.with_step(name, replace(step, state=final)), END_EVENTS[final], name)
 
     def _evacuation_completes_step(self, name: str, now_us: int) -> bool:
-        """Whether an evacuated machine is done by that alone."""
+        """Report whether a step is done since its machine has been evacuated for the plan's minimum."""
         if self._plan.completion != "empty":
             return False
         return self._elapsed_s(now_us, name, EVACUATED) >= self._plan.min_evacuated_s
 
     def _final_state(self, state: RolloutState, name: str, fleet: FleetSnapshot, now_us: int) -> StepState | None:
-        """How a step has ended, whatever its members have confirmed; None while it goes on."""
+        """Return how a step has ended regardless of its members' confirmations; None while it is in progress."""
         elapsed_s = self._elapsed_s(now_us, name, OUT_OF_SERVICE)
         if state.is_aborted:
             return StepState.RELEASED
         machine = fleet.find(name)
-        # A proxy's new process is not the one that was drained: there is nothing left to wait for.
+        # A proxy's step always ends by a restart: its new process is not the one that was drained.
         ends_by_restart = self._plan.completion == "restarted" or name.startswith(PROXY_PREFIX)
         started_after_ms = state.steps[name].machine_start_ms
         has_restarted = machine is not None and machine.is_serving and machine.start_ms > started_after_ms
@@ -172,7 +177,7 @@
     def _confirm_by_members(
         self, state: RolloutState, name: str, fleet: FleetSnapshot, now_us: int
     ) -> RolloutChange | None:
-        """Record that all members have taken a machine out, then that all have evacuated it."""
+        """Record that all members have taken a machine out of service, then that all have evacuated it."""
         step = state.steps[name]
         if self._waits_for_lost_member(name, step, fleet, now_us):
             return None
@@ -188,10 +193,10 @@
         return RolloutChange(state.with_step(name, replace(step, is_evacuated=True)), RolloutEvent.STEP_EVACUATED, name)
 
     def _waits_for_lost_member(self, name: str, step: RolloutStep, fleet: FleetSnapshot, now_us: int) -> bool:
-        """Whether a member that was there when the step began is absent for less than the plan's timeout.
+        """Report whether a member of the step's start has been absent for less than the plan's timeout.
 
-        It is dead, or cut off and still serving: which, nobody can tell. After the timeout it counts as dead, and a
-        cut off one that had seen the step has evacuated the machine.
+        An absent member is either dead, or partitioned and still serving; the two cannot be distinguished. After the
+        timeout it counts as dead; a partitioned one that had seen the step has evacuated the machine by then.
         """
         is_waiting = False
         for identity in step.expected_members:
@@ -204,9 +209,9 @@
     def _start_step(
         self, state: RolloutState, remaining: list[str], fleet: FleetSnapshot, now_us: int
     ) -> RolloutChange | None:
-        """Take out the first of the remaining machines that the plan's bounds allow."""
+        """Start the step of the first remaining machine that the plan's limits allow."""
         if len(fleet.members) < self._plan.min_members:
-            self.blocked_reason = f"{len(fleet.members)} proxies at the engine, under members_least"
+            self.blocked_reason = f"{len(fleet.members)} proxies at the engine, fewer than members_least"
             return None
         capacity = _FleetCapacity.measure(fleet, self._unavailable_machines(state, fleet, now_us))
         for name in remaining:
@@ -220,23 +225,23 @@
         return None
 
     def _violated_bound(self, name: str, machine: MachineStatus, capacity: _FleetCapacity) -> str:
-        """The bound that would be violated if a machine were taken out now; "" for none."""
+        """Return the limit that taking a machine out of service now would exceed; "" if none."""
         plan = self._plan
         if name.startswith(PROXY_PREFIX):
             return (
-                "proxies_out_most proxies are out"
+                "proxies_out_most proxies are out of service"
                 if capacity.unavailable_proxies >= plan.max_unavailable_proxies
                 else ""
             )
         if capacity.unavailable_servers >= plan.max_unavailable_servers:
-            return "out_most session servers are out"
+            return "out_most session servers are out of service"
         max_unavailable_in_zone = floor(plan.max_zone_fraction * capacity.zone_sizes[machine.zone] + ROUNDING_TOLERANCE)
         if capacity.unavailable_by_zone[machine.zone] + 1 > max_unavailable_in_zone:
-            return f"zone_share of {machine.zone or 'its zone'} is out, or allows none"
+            return f"zone_share of {machine.zone or 'its zone'} is out of service, or allows no server"
         return ""
 
     def _unavailable_machines(self, state: RolloutState, fleet: FleetSnapshot, now_us: int) -> set[str]:
-        """All that do not serve now: out by a step, back for less than the settling time, or down by themselves."""
+        """Return all machines that do not serve: taken out, returned for less than the settling time, or down."""
         unavailable = set(state.machines_out_of_service())
         for name, step in state.steps.items():
             if (
@@ -248,7 +253,7 @@
 
     @staticmethod
     def _new_step(state: RolloutState, name: str, machine: MachineStatus, fleet: FleetSnapshot) -> RolloutChange:
-        """A new step; whoever writes it adds the fencing token and the time."""
+        """Return the change that starts a step; its writer sets the fencing token and the time."""
         step = RolloutStep(
             state=StepState.OUT_OF_SERVICE,
             token=0,
--- a/stoatgw/maintenance/rollout_state.py
+++ b/stoatgw/maintenance/rollout_state.py
@@ -1,7 +1,7 @@
-"""What a maintenance has done so far: one value under one key of the engine. Pure.
+"""The state of a rollout: one value under one key of the coordination engine. Pure.
 
-One key, because one comparison then guards all of it: nobody writes without having seen the last write. The stored
-field names differ from the code's and never change: processes of two versions meet at one engine.
+With a single key one comparison guards the whole state: a write succeeds only if its writer has seen the last one. The
+stored field names differ from the attributes and never change, since processes of two versions share one engine.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 
 
 class RolloutStateError(ValueError):
-    """The bytes are no rollout state."""
+    """The bytes are not a rollout state."""
 
 
 class StepState(Enum):
-    """Where a machine's step has got to; all but OUT_OF_SERVICE are final."""
+    """State of a machine's step; all but OUT_OF_SERVICE are final."""
 
     OUT_OF_SERVICE = "out"
     DONE = "done"
     LATE = "late"  # it timed out
-    RELEASED = "released"  # the maintenance was aborted while the machine was out
+    RELEASED = "released"  # the maintenance was aborted while the machine was out of service
 
 
 class RolloutStep(msgspec.Struct, frozen=True, kw_only=True, rename=STORED_STEP_FIELDS):
-    """One machine's step. Timeouts are measured by each leader's own clock; `started_at_ms` is for people.
+    """One machine's step. Timeouts use each leader's monotonic clock; `started_at_ms` is for display only.
 
     Attributes:
-        state: Where it has got to.
-        token: The fencing token under which it began.
-        started_at_ms: When it began, in Unix time.
-        machine_start_ms: When the machine's process had started, as it was listed then.
-        expected_members: The proxies that the step concerned when it began, by identity.
-        is_notified: All proxies have taken the machine out.
-        is_evacuated: None of them has connections to it: it may be worked on.
+        state: The step's state.
+        token: The fencing token with which the step was started.
+        started_at_ms: When the step started, in Unix time.
+        machine_start_ms: When the machine's process had started, as listed at the step's start.
+        expected_members: The members that had to confirm the step at its start, by identity.
+        is_notified: Whether all members have taken the machine out of service.
+        is_evacuated: Whether no member has connections to the machine, so that it may be worked on.
     """
 
     state: StepState
@@ -61,7 +61,14 @@
 
 
 class RolloutState(msgspec.Struct, frozen=True, kw_only=True, rename=STORED_STATE_FIELDS):
-    """All steps so far, by machine, in the order in which they began."""
+    """The state of a rollout.
+
+    Attributes:
+        plan_fingerprint: The fingerprint of the rollout's plan.
+        steps: All started steps by machine, in the order in which they were started.
+        is_aborted: Whether the rollout was aborted: no further step starts, and steps in progress are released.
+        is_finished: Whether all steps have ended.
+    """
 
     plan_fingerprint: str
     steps: dict[str, RolloutStep] = {}
@@ -69,22 +76,26 @@
     is_finished: bool = False
 
     def machines_out_of_service(self) -> list[str]:
-        """The machines that are out now."""
+        """List the machines that are out of service now."""
         return [name for name, step in self.steps.items() if step.state is StepState.OUT_OF_SERVICE]
 
     def with_step(self, name: str, step: RolloutStep) -> RolloutState:
-        """The state with one machine's step added or replaced."""
+        """Return the state with one machine's step added or replaced."""
         return msgspec.structs.replace(self, steps=self.steps | {name: step})
 
 
 def encode(state: RolloutState) -> bytes:
-    """The state as it is stored, with version and checksum."""
+    """Encode a state for storage, with version and checksum."""
     return frame(HEAD, msgspec.json.encode(state))
 
 
 def decode(data: bytes) -> RolloutState:
-    """A stored state. Raises RolloutStateError."""
+    """Decode a stored state.
+
+    Raises:
+        RolloutStateError: The data is damaged, or of another version.
+    """
     try:
         return msgspec.json.decode(unframe(HEAD, data, "is no ledger"), type=RolloutState)
-    except ValueError as error:  # msgspec's own among them
+    except ValueError as error:  # includes msgspec's errors
         raise RolloutStateError(str(error)[:200]) from None
--- a/stoatgw/maintenance/service.py
+++ b/stoatgw/maintenance/service.py
@@ -1,6 +1,6 @@
-"""Wires a maintenance controller into a proxy.
+"""Creates a proxy's maintenance controller.
 
-Loaded only where the operators' file has [membership] and [maintenance].
+Imported only if the operators' file has [membership] and [maintenance].
 """
 
 from __future__ import annotations
@@ -29,7 +29,11 @@
     discovery: DiscoveryClient,
     overrides: EndpointOverrides,
 ) -> MaintenanceController:
-    """The controller of the proxy that a context belongs to. Raises ConfigError."""
+    """Make the maintenance controller of a proxy.
+
+    Raises:
+        ConfigError: The membership settings are invalid.
+    """
     deployment = context.deployment
     settings = MaintenanceSettings(
         membership=membership,
--- a/stoatgw/maintenance/settings.py
+++ b/stoatgw/maintenance/settings.py
@@ -1,4 +1,4 @@
-"""What a maintenance controller is made with."""
+"""Settings and clocks of a maintenance controller."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
         membership: The engine and its leases.
         plan: The plan to carry out.
         proxy_name: This proxy's name.
-        incarnation: Differs for each process, so that a name used twice, or again after a crash, is not taken for
-            one lease holder.
-        state_directory: Where the rollout state is persisted; None or "": nowhere.
+        incarnation: Differs for each process, so that two processes with one name, at once or one after a crash of
+            the other, are different lease holders.
+        state_directory: Where the rollout state is persisted; with None or "" it is not.
     """
 
     membership: MembershipConfig
@@ -31,18 +31,18 @@
 
     @property
     def identity(self) -> str:
-        """Names this process at the engine."""
+        """Identifies this process at the coordination engine."""
         return f"{self.proxy_name}-{self.incarnation}"
 
     @property
     def keys(self) -> MaintenanceKeys:
-        """The engine's keys of the plan."""
+        """The plan's keys at the coordination engine."""
         return MaintenanceKeys(self.membership.scope, self.plan.name)
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Clocks:
-    """Clocks in microseconds. Unix time marks times for people and this process's start; it measures nothing."""
+    """Clocks in microseconds. Unix time is for display and for this process's start; it measures no durations."""
 
     monotonic_us: Callable[[], int]
     unix_us: Callable[[], int]
--- a/stoatgw/maintenance/state_file.py
+++ b/stoatgw/maintenance/state_file.py
@@ -1,4 +1,4 @@
-"""The last rollout state seen, persisted by this proxy: its next process starts with it, also without the engine."""
+"""Persists the last rollout state that this proxy has seen, so that its next process can start without the engine."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RolloutStateFileError(Exception):
-    """The file cannot be read or written; the message names it and says why."""
+    """The file cannot be read or written; the message names the file and the reason."""
 
 
 class RolloutStateFile:
@@ -19,10 +19,10 @@
         self._path = directory / f"stoatgw-maintenance-{plan_name}"
 
     def load(self) -> RolloutState | None:
-        """The persisted state, None without a file.
+        """Load the persisted state; None without a file.
 
         Raises:
-            RolloutStateFileError: The file is left as it is.
+            RolloutStateFileError: The file cannot be read; it is left unchanged.
         """
         try:
             with self._path.open("rb") as file:
@@ -38,7 +38,7 @@
         """Persist a state.
 
         Raises:
-            RolloutStateFileError: The file is as it was.
+            RolloutStateFileError: The file cannot be written; it is left unchanged.
         """
         try:
             write_atomically(self._path, encode(state))
--- a/tests/rollouts.py
+++ b/tests/rollouts.py
@@ -1,4 +1,4 @@
-"""What the tests of a rolling maintenance share."""
+"""Helpers for the tests of rolling maintenance."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def assert_bounds_held(plan: MaintenancePlan, zones: dict[str, str], history: list[RolloutState]) -> None:
-    """Reads nothing but the states that were ever stored: never too many out, each machine out once, ended once."""
+    """Check the stored states: the plan's limits hold, and each machine has one step, which ends once."""
     zone_sizes = Counter(zones.values())
     previous_states = [RolloutState(plan_fingerprint=plan.fingerprint), *history]
     for before, after in zip(previous_states, history, strict=False):
@@ -34,4 +34,4 @@
             assert name in after.steps
             assert step.state is StepState.OUT_OF_SERVICE or after.steps[name] == step
     tokens = [step.token for step in history[-1].steps.values()]
-    assert tokens == sorted(tokens)  # an old leader starts nothing after a new one has
+    assert tokens == sorted(tokens)  # an old leader starts no step after a new one has started one
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""A rolling maintenance's plan, its next change against a plain model, and the state file."""
+"""The rollout planner against a model of a fleet, the state file, and the plan's validation."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 
 class RolloutModel:
-    """A fleet of two proxies, whose planner's changes are applied at once."""
+    """A fleet of two proxies in which the planner's changes are applied at once."""
 
-    ACTS = (
+    ACTIONS = (
         "step",
         "step",
         "take out",
@@ -67,9 +67,9 @@
         self.now_us = 0
         self.history: list[RolloutState] = []
 
-    def act(self, act: str, server: str, identity: str) -> None:
+    def apply_action(self, action: str, server: str, identity: str) -> None:
         self.now_us += SECOND_US // 2
-        match act:
+        match action:
             case "step":
                 self._step()
             case "pause":
@@ -77,17 +77,17 @@
             case "new leader":
                 self.planner = RolloutPlanner(self.plan)
             case "take out" | "evacuate" | "lose member" | "regain member":
-                self._change_member(act, identity)
+                self._change_member(action, identity)
             case _:
-                self._change_server(act, server)
+                self._change_server(action, server)
 
-    def _change_member(self, act: str, identity: str) -> None:
+    def _change_member(self, action: str, identity: str) -> None:
         member = self.members.get(identity)
-        if act == "lose member":
+        if action == "lose member":
             self.members.pop(identity, None)
-        elif act == "regain member":
+        elif action == "regain member":
             self.members.setdefault(identity, ProxyMember(identity, 0))
-        elif member is not None and act == "take out":
+        elif member is not None and action == "take out":
             out = frozenset(self.state.machines_out_of_service())
             self.members[identity] = ProxyMember(identity, 0, out, member.machines_evacuated & out)
         elif member is not None:
@@ -95,10 +95,10 @@
                 identity, 0, member.machines_out_of_service, member.machines_out_of_service
             )
 
-    def _change_server(self, act: str, server: str) -> None:
-        if act == "server down":
+    def _change_server(self, action: str, server: str) -> None:
+        if action == "server down":
             self.machines[server] = MachineStatus(self.zones[server], False, 1)
-        elif act == "server up" or self._may_be_worked_on(server):
+        elif action == "server up" or self._may_be_worked_on(server):
             self.machines[server] = MachineStatus(self.zones[server], True, self.now_us)
 
     def _may_be_worked_on(self, server: str) -> bool:
@@ -114,7 +114,7 @@
 
     def _verify(self, change: RolloutChange) -> None:
         if change.event is RolloutEvent.STEP_STARTED:
-            # Those down by themselves count as well: the fleet cannot spare more.
+            # Servers that are down count towards the limit as well.
             down = {name for name, machine in self.machines.items() if not machine.is_serving}
             assert self.members
             assert len(down | set(change.state.machines_out_of_service())) <= self.plan.max_unavailable_servers
@@ -125,19 +125,19 @@
 
 @DETERMINISTIC
 @given(st.data())
-def test_whatever_happens_the_bounds_hold_and_each_machine_has_one_step(data: st.DataObject) -> None:
+def test_plan_limits_hold_and_each_machine_has_one_step_under_random_events(data: st.DataObject) -> None:
     zones = {f"s-{index}": "ab"[index % 2] for index in range(data.draw(st.integers(1, 7)))}
     model = RolloutModel(make_plan(data, zones), zones)
-    for act in data.draw(st.lists(st.sampled_from(RolloutModel.ACTS), max_size=60)):
+    for action in data.draw(st.lists(st.sampled_from(RolloutModel.ACTIONS), max_size=60)):
         server = data.draw(st.sampled_from(sorted(zones)))
         identity = data.draw(st.sampled_from(IDENTITIES))
-        model.act(act, server, identity)
+        model.apply_action(action, server, identity)
     if model.history:
         assert_bounds_held(model.plan, zones, model.history)
 
 
 def make_step(*, is_notified: bool = False) -> RolloutStep:
-    """A machine that is out."""
+    """Make the step of a machine that is out of service."""
     return RolloutStep(
         state=StepState.OUT_OF_SERVICE,
         token=1,
@@ -160,18 +160,19 @@
     return RolloutState(plan_fingerprint=LOST_MEMBER_PLAN.fingerprint, steps={"s-0": make_step()})
 
 
-def test_a_lost_member_is_waited_for_by_each_leader_anew(first_step: RolloutState) -> None:
+def test_each_leader_waits_for_a_lost_member_anew(first_step: RolloutState) -> None:
+    """A leader counts a lost member as dead after the timeout, measured from its own first observation."""
     planner = RolloutPlanner(LOST_MEMBER_PLAN)
     assert planner.next_change(first_step, WITHOUT_N1, 0) is None
     assert planner.next_change(first_step, WITHOUT_N1, 5 * SECOND_US - 1) is None
     change = planner.next_change(first_step, WITHOUT_N1, 5 * SECOND_US)
     assert change is not None
     assert change.event is RolloutEvent.STEP_NOTIFIED
-    # Another leader does not know for how long the member has been lost.
+    # A new leader does not know for how long the member has been lost.
     assert RolloutPlanner(LOST_MEMBER_PLAN).next_change(change.state, WITHOUT_N1, 6 * SECOND_US) is None
 
 
-def test_a_step_is_evacuated_only_when_every_member_confirms_it() -> None:
+def test_a_step_is_evacuated_only_after_every_member_confirms_it() -> None:
     state = RolloutState(plan_fingerprint=LOST_MEMBER_PLAN.fingerprint, steps={"s-0": make_step(is_notified=True)})
     out = frozenset(["s-0"])
     evacuated = ProxyMember("n0", 0, out, out)
@@ -192,7 +193,7 @@
     assert change.event is RolloutEvent.STEP_TIMED_OUT
 
 
-def test_an_aborted_maintenance_brings_all_back_and_starts_nothing(first_step: RolloutState) -> None:
+def test_an_aborted_maintenance_releases_all_machines_and_starts_no_step(first_step: RolloutState) -> None:
     planner = RolloutPlanner(LOST_MEMBER_PLAN)
     assert planner.next_change(first_step, WITHOUT_N1, 0) is None
     aborted = RolloutState(plan_fingerprint=LOST_MEMBER_PLAN.fingerprint, steps=first_step.steps, is_aborted=True)
@@ -202,7 +203,7 @@
     assert planner.next_change(released.state, WITHOUT_N1, 9**12) is None
 
 
-def test_a_state_cut_or_changed_anywhere_is_rejected_and_its_file_left_as_it_is(tmp_path: Path) -> None:
+def test_a_truncated_or_corrupt_state_is_rejected_and_its_file_is_kept(tmp_path: Path) -> None:
     state = RolloutState(plan_fingerprint="f", steps={"s-0": make_step(is_notified=True)})
     data = encode(state)
     state_file = RolloutStateFile(tmp_path, "p")
@@ -239,5 +240,5 @@
         ("[membership]\nengine = ['127.0.0.1:2379']\nlease_s = 2", "lease_s: under three times"),
     ],
 )
-def test_a_bad_plan_is_one_line_that_names_file_and_field(tmp_path: Path, text: str, field: str) -> None:
+def test_the_error_for_an_invalid_plan_is_one_line_with_file_and_field(tmp_path: Path, text: str, field: str) -> None:
     assert_rejected_in_one_line(tmp_path, text, field)
--- a/tests/test_maintenance_controller.py
+++ b/tests/test_maintenance_controller.py
@@ -1,4 +1,4 @@
-"""Maintenance controllers over the emulated engine in one process: every call may be delayed or lose its response."""
+"""Maintenance controllers and the emulated engine in one process; any call or response may be delayed or lost."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SuspendedCall:
-    """Hands a call out of the controller, to whoever drives it."""
+    """Suspends the controller's coroutine at a call, so that the test decides when it is carried out."""
 
     def __init__(self, path: str, body: etcd_api.Body) -> None:
         self.call = path, body
@@ -44,7 +44,7 @@
 
 
 class IdleProxy:
-    """A proxy without connections."""
+    """The actions of a proxy without connections."""
 
     def __init__(self, machines: dict[str, MachineStatus]) -> None:
         self._machines = machines
@@ -64,7 +64,7 @@
 
 
 class World:
-    """Controllers that reconcile step by step, and a store that carries their calls out when asked to."""
+    """Controllers that reconcile call by call, and a store that carries out calls when the test asks for it."""
 
     PLAN = MaintenancePlan(
         name="p",
@@ -118,7 +118,7 @@
         self.responses[index] = None
 
     def resume(self, index: int) -> None:
-        """On to the next call, or to the end of the pass."""
+        """Run a controller up to its next call, or to the end of its pass."""
         current = self.passes[index]
         response = self.responses[index]
         if current is None:
@@ -136,7 +136,7 @@
         return self.passes[index] is not None and self.responses[index] is None
 
     def carry_out(self, index: int, *, loses_response: bool = False) -> None:
-        """The engine carries the call out; its response may be lost."""
+        """Carry out the pending call at the engine; its response may be lost."""
         call = self.calls[index]
         if not self.is_call_pending(index) or call is None:
             return
@@ -151,12 +151,12 @@
             self.history.append(decode(entry.value))
 
     def lose_call(self, index: int) -> None:
-        """The engine never receives the call."""
+        """Lose the pending call before the engine receives it."""
         if self.is_call_pending(index):
-            self.responses[index] = CallFailure("never came", may_have_run=True)
+            self.responses[index] = CallFailure("never received", may_have_run=True)
 
     def work_on_machines(self) -> None:
-        """Staff restart what is evacuated."""
+        """Restart the evacuated machines, as staff do."""
         if not self.history:
             return
         for name, step in self.history[-1].steps.items():
@@ -164,23 +164,23 @@
                 self.machines[name] = MachineStatus("a", True, self.now_us)
 
     def finish_pass(self, index: int) -> None:
-        """One pass from where it is to its end, with nothing lost."""
+        """Finish the current pass, or run a new one, without losing calls or responses."""
         self.resume(index)
         while self.passes[index] is not None:
             self.carry_out(index)
             self.resume(index)
 
     def verify(self) -> None:
-        assert sum(controller.fencing_token > 0 for controller in self.controllers) <= 1, "two lead"
+        assert sum(controller.fencing_token > 0 for controller in self.controllers) <= 1, "two leaders"
         if self.history:
             assert_bounds_held(self.PLAN, dict.fromkeys(self.PLAN.machines, "a"), self.history)
 
 
-ACTS = [*["resume", "carry out", "finish pass", "pause"] * 8, "lose response", "lose call", "long pause", "restart"]
-ACTS += ["work", "work"]
+ACTIONS = [*["resume", "carry out", "finish pass", "pause"] * 8, "lose response", "lose call", "long pause", "restart"]
+ACTIONS += ["work", "work"]
 
 
-def act(world: World, name: str, index: int) -> None:
+def apply_action(world: World, name: str, index: int) -> None:
     match name:
         case "resume":
             world.resume(index)
@@ -200,35 +200,36 @@
             world.work_on_machines()
 
 
-def walk(folder: Path, seed: int) -> World:
-    """Three controllers through 600 random acts, verified after each."""
-    draws = Random(seed)
+def run_random_actions(folder: Path, seed: int) -> World:
+    """Run three controllers through 600 random actions, and verify the invariants after each."""
+    rng = Random(seed)
     world = World(folder, 3)
     for _ in range(600):
-        name = draws.choice(ACTS)
-        act(world, name, draws.randrange(3))
+        name = rng.choice(ACTIONS)
+        apply_action(world, name, rng.randrange(3))
         world.verify()
     return world
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_controllers_that_pause_lose_calls_and_restart_never_lead_together(tmp_path: Path, seed: int) -> None:
-    walk(tmp_path, seed)
+def test_at_most_one_controller_leads_under_pauses_lost_calls_and_restarts(tmp_path: Path, seed: int) -> None:
+    run_random_actions(tmp_path, seed)
 
 
-def test_the_walks_reach_all_ends(tmp_path: Path) -> None:
+def test_random_actions_reach_steps_in_progress_and_done(tmp_path: Path) -> None:
+    """Guards the random tests against covering nothing."""
     reached: Counter[StepState] = Counter()
     for seed in range(5):
         folder = tmp_path / str(seed)
         folder.mkdir()
-        history = walk(folder, seed).history
+        history = run_random_actions(folder, seed).history
         if history:
             reached.update(step.state for step in history[-1].steps.values())
     assert reached.keys() >= {StepState.OUT_OF_SERVICE, StepState.DONE}
 
 
-def suspend_before_write(world: World) -> None:
-    """The first controller has done a machine, and is about to write its next step; the write is on its way."""
+def pause_before_write(world: World) -> None:
+    """Let the first controller finish one machine, and leave the write of its next step in flight."""
     while not (world.history and world.history[-1].machines_out_of_service()):
         world.now_us += SECOND_US
         world.finish_pass(0)
@@ -248,10 +249,10 @@
     return [b64decode(put["key"]).decode() for put in puts]
 
 
-def test_a_leader_that_was_suspended_before_its_write_writes_nothing(tmp_path: Path) -> None:
-    """The case for fencing: suspended for longer than its lease, while the next leader has written nothing."""
+def test_a_leader_paused_before_its_write_is_fenced_off(tmp_path: Path) -> None:
+    """A leader paused for longer than its lease cannot write, even if the next leader has written nothing yet."""
     world = World(tmp_path, 2)
-    suspend_before_write(world)
+    pause_before_write(world)
     while not world.controllers[1].fencing_token:
         world.now_us += SECOND_US
         world.resume(1)
@@ -264,8 +265,9 @@
 
 
 def test_an_abort_between_a_snapshot_and_a_write_is_kept(tmp_path: Path) -> None:
+    """The leader's write must not overwrite an abort that was written after the leader's snapshot."""
     world = World(tmp_path, 2)
-    suspend_before_write(world)
+    pause_before_write(world)
     aborted = encode(replace(world.history[-1], is_aborted=True))
     request = etcd_api.transaction([], [etcd_api.put_operation(world.keys.rollout, aborted)])
     answer(world.store, etcd_api.TRANSACTION_PATH, request, world.now_us)
--- a/tests/test_stored_rollouts.py
+++ b/tests/test_stored_rollouts.py
@@ -1,7 +1,7 @@
-"""Engine values and files as the program wrote them at f58f876: read by this version, and written as the same bytes.
+"""Compatibility of stored values and files: samples written at commit f58f876 are read, and written as the same bytes.
 
-The samples were written by the code of that commit (rollout states, member statuses, published health checks, the
-state file, a plan). Processes of both versions meet at one engine during an upgrade.
+The samples are rollout states, member statuses, published health checks, a state file and a plan. During an upgrade
+processes of both versions share one coordination engine.
 """
 
 from __future__ import annotations
@@ -114,7 +114,7 @@
     assert first.load_report == (0.4, None, 20.0)
 
 
-def test_the_state_file_is_found_read_and_written_as_the_same_bytes(tmp_path: Path) -> None:
+def test_the_state_file_is_read_and_written_under_the_same_name_as_the_same_bytes(tmp_path: Path) -> None:
     state = RolloutState(plan_fingerprint="fedcba9876543210", steps=STEPS, is_aborted=True)
     assert RolloutStateFile(SAMPLES, "2026-12-kernel").load() == state
     RolloutStateFile(tmp_path, "2026-12-kernel").save(state)
@@ -123,7 +123,7 @@
     assert written.read_bytes() == (SAMPLES / written.name).read_bytes()
 
 
-def test_the_engines_keys_are_the_same() -> None:
+def test_the_keys_at_the_engine_are_unchanged() -> None:
     keys = MaintenanceKeys("dk-main", "2026-12-kernel")
     assert keys.prefix == "dk-main/maintenance/2026-12-kernel/"
     assert keys.rollout == "dk-main/maintenance/2026-12-kernel/ledger"
@@ -132,8 +132,8 @@
     assert keys.member_status(FIRST_PROXY) == "dk-main/maintenance/2026-12-kernel/told/n0-0a1b2c3d4e5f"
 
 
-def test_a_plan_has_the_same_fields_and_the_same_fingerprint() -> None:
-    """Two versions that disagreed on the fingerprint would each take the other's rollout for another plan's."""
+def test_a_plans_fields_and_fingerprint_are_unchanged() -> None:
+    """If two versions computed different fingerprints, each would reject the other's rollout as another plan's."""
     stored = (SAMPLES / "plan.toml").read_bytes()
     plan = MaintenancePlan(
         name="2026-12-kernel",
