--- a/stoatgw/shared_health_checks/assignment.py
+++ b/stoatgw/shared_health_checks/assignment.py
@@ -1,4 +1,4 @@
-"""Which servers this proxy is to check, and when. Pure; times are its own monotonic microseconds."""
+"""Which servers this proxy has to check, and when. Pure; times are microseconds of its monotonic clock."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HealthCheckAssignment:
-    """The servers ranked over the members, and when each was last checked.
+    """The ranking of the members for each server, and when each server was last checked.
 
     Attributes:
         assignees: The member that each server is assigned to.
@@ -23,13 +23,13 @@
         self._members: tuple[str, ...] = ()
         self._ranked_members: dict[str, list[str]] = {}
         self._own_rank: dict[str, int] = {}
-        self._last_check_us: dict[str, int] = {}  # by any member, as far as is known here
+        self._last_check_us: dict[str, int] = {}  # by any member, as far as this proxy knows
         self._last_own_check_us: dict[str, int] = {}
         self._taken_over: set[str] = set()
         self.assignees: Mapping[str, str] = {}
 
     def update(self, servers: Iterable[str], members: Iterable[str], now_us: int) -> None:
-        """Assign these servers to these members; does nothing where both are as before."""
+        """Assign servers to members; do nothing if both are unchanged."""
         new_servers = tuple(sorted(servers))
         new_members = tuple(sorted(members))
         if (new_servers, new_members) == (self._servers, self._members):
@@ -44,18 +44,21 @@
                 del times[name]
         self._taken_over &= self._ranked_members.keys()
         for name in self._ranked_members:
-            self._last_check_us.setdefault(name, now_us)  # a new server is its assignee's to begin with
+            self._last_check_us.setdefault(name, now_us)  # give the assignee of a new server time to check it
 
     def _find_own_rank(self, ranked: list[str]) -> int:
         return ranked.index(self._identity) if self._identity in ranked else len(ranked)
 
     def reset_ages(self, now_us: int) -> None:
-        """Nothing was received for long, by this proxy's own fault: what it knows proves no other member's failure."""
+        """Restart all takeover delays, since results that this proxy missed do not prove that other members failed."""
         self._last_check_us = dict.fromkeys(self._last_check_us, now_us)
         self._taken_over.clear()
 
     def record_check(self, server: str, at_us: int, member: str) -> None:
-        """Another member checked a server then, or later; if it ranks before this proxy, a takeover ends."""
+        """Record that another member checked a server at this time or later.
+
+        If that member ranks before this proxy, this proxy's takeover of the server ends.
+        """
         if server not in self._own_rank:
             return
         self._last_check_us[server] = max(self._last_check_us[server], at_us)
@@ -63,12 +66,12 @@
             self._taken_over.discard(server)
 
     def select_due(self, now_us: int, *, is_receiving: bool) -> list[str]:
-        """The servers to check now; each counts as checked by this proxy.
+        """Return the servers to check now, and record them as checked by this proxy.
 
         Args:
             now_us: The time.
-            is_receiving: Whether the others' results arrive. A proxy that is cut off takes nothing over: all others
-                would look failed to it.
+            is_receiving: Whether other members' results are received. A partitioned proxy takes nothing over, since
+                all other members would seem to have failed.
         """
         due = []
         for name, rank in self._own_rank.items():
@@ -82,7 +85,7 @@
         return due
 
     def _takes_over(self, name: str, rank: int, now_us: int, *, is_receiving: bool) -> bool:
-        """Whether another's server is this proxy's to check, since nobody before it has done so for long."""
+        """Whether this proxy takes over a server because no member that ranks before it has checked it in time."""
         if not is_receiving:
             return False
         if name in self._taken_over:
--- a/stoatgw/shared_health_checks/checker.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -1,4 +1,4 @@
-"""One proxy's part in shared health checks: checks its own servers, publishes, and receives the others' results."""
+"""Shared health checks in one proxy: checks the assigned servers, publishes results, and receives other proxies'."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 from stoatgw.telemetry.log import EventLog
 
 TICK_INTERVAL_S = 0.05
-MISSED_POLLS = 3  # after so many poll intervals without a snapshot a proxy counts as cut off
+MISSED_POLLS = 3  # a proxy without a snapshot for this many poll intervals counts as partitioned
 RECONCILE_FAILED = Condition("health_check_sharing_failed", logs_each_reason=True)
 
 
 class SharingEvent(StrEnum):
-    """Log events of whether health checks are shared."""
+    """Log events of the start and the end of sharing."""
 
     STARTED = "health_check_sharing_started"
     STOPPED = "health_check_sharing_stopped"
@@ -33,12 +33,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProxyHooks:
-    """What the checker needs of the proxy that it runs in.
+    """The interface between the checker and the proxy that it runs in.
 
     Attributes:
         queue: The balancer controller's message queue.
         start_check: Starts a health check of a server; its result is posted to the checker.
-        list_servers: The names of the session servers that discovery lists.
+        list_servers: Returns the names of the session servers that discovery lists.
     """
 
     queue: MessageQueue
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class SharedHealthCheckSettings:
-    """The operators' settings, and this process's identity at the engine."""
+    """The operators' settings, and this process's identity at the coordination engine."""
 
     membership: MembershipConfig
     sharing: SharedHealthChecksConfig
@@ -56,7 +56,7 @@
 
 
 class SharedHealthChecker:
-    """Also stands between the health checker and the controller's queue, so that results pass through it."""
+    """Runs shared health checks; the proxy's health checker posts its results through it to the controller's queue."""
 
     def __init__(
         self,
@@ -93,33 +93,33 @@
         self._assignment = HealthCheckAssignment(settings.identity, settings.sharing)
         self._own_results = OwnResults(self._max_report_age_us)
         self._peer_results = PeerResults()
-        self._last_snapshot_us = 0  # when the call was sent that got it; 0: none yet
-        self._last_member_us = DISTANT_PAST_US  # when a snapshot last had this proxy among the members
+        self._last_snapshot_us = 0  # when the call for the last snapshot was sent; 0: none yet
+        self._last_member_us = DISTANT_PAST_US  # when a snapshot last listed this proxy as a member
         self._was_sharing = False
 
     @property
     def is_sharing(self) -> bool:
-        """Whether health checks are shared now; if not, each proxy goes by its own decisions."""
+        """Whether health checks are shared now; if not, each proxy checks as its own decisions request."""
         return self._now_us() - self._last_member_us < self._lease_ttl_us
 
     @property
     def assigned_servers(self) -> list[str]:
-        """The servers that are this proxy's to check."""
+        """The servers assigned to this proxy."""
         return [name for name, member in self._assignment.assignees.items() if member == self._identity]
 
     def post(self, message: Message) -> None:
-        """Pass a message on to the controller; the result of a health check is kept for the others as well."""
+        """Forward a message to the controller; record the result of a health check for publication."""
         if isinstance(message, HealthCheckCompleted):
             self._own_results.record(message, self._now_us())
         self._hooks.queue.post(message)
 
     def request_health_check(self, server: str) -> None:
-        """The decisions ask for a health check: started here only while none are shared."""
+        """Start a health check that the decisions request, unless health checks are shared."""
         if not self.is_sharing:
             self._hooks.start_check(server)
 
     def start_due_checks(self) -> None:
-        """Start the checks that are due, while they are shared."""
+        """Start the checks that are due, while health checks are shared."""
         is_sharing = self.is_sharing
         if is_sharing != self._was_sharing:
             self._was_sharing = is_sharing
@@ -149,7 +149,11 @@
             reconciling.cancel()
 
     async def reconcile(self) -> None:
-        """Publish this proxy's results and read the others', in one call. Raises ResponseError."""
+        """Publish this proxy's results and read the other proxies' in one call.
+
+        Raises:
+            ResponseError: The response is malformed.
+        """
         if self._lease.is_due:
             await self._lease.send_next_call()
         token = self._lease.fencing_token()
@@ -162,7 +166,7 @@
         )
         if not token:
             return
-        # A proxy whose lease has expired may not publish: the others have taken its servers over.
+        # A proxy whose lease has expired must not publish: other proxies have taken over its servers.
         result = await self._lease.transact(token, [publish, self._all_keys], otherwise=[self._all_keys])
         if isinstance(result, CallFailure):
             return
@@ -174,7 +178,7 @@
         if now_us - previous_us > self._max_gap_us:
             self._assignment.reset_ages(now_us)
         self._assignment.update(self._hooks.list_servers(), members, self._now_us())
-        # A report was written after the previous snapshot was asked for: so much may have been added to its age since.
+        # A new report was written after the call for the previous snapshot, so its age grew by at most the time since.
         added_age_us = now_us - previous_us if previous_us else self._max_report_age_us + 1
         self._receive_reports(result.snapshot, added_age_us)
         self._peer_results.retain(members)
@@ -184,7 +188,7 @@
         return [key.removeprefix(self._members_prefix) for key in keys if key != self._members_prefix]
 
     def _receive_reports(self, snapshot: etcd_api.RangeSnapshot, added_age_us: int) -> None:
-        """Post what other members have published since the previous snapshot, unless it may be too old."""
+        """Post the results that other members published since the previous snapshot, unless they may be too old."""
         ignored = (self._reports_prefix, self._reports_prefix + self._identity)
         for entry in snapshot.entries:
             if not entry.key.startswith(self._reports_prefix) or entry.key in ignored:
--- a/stoatgw/shared_health_checks/published.py
+++ b/stoatgw/shared_health_checks/published.py
@@ -1,4 +1,4 @@
-"""Results of health checks as they are published, by this proxy and by the others."""
+"""Results of health checks as published by this proxy and by other members."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class PublishedHealthCheck(msgspec.Struct, frozen=True, array_like=True):
-    """A health check's result, stored as an array: the fields' order never changes.
+    """A health check's result, stored as an array: the order of the fields never changes.
 
     Attributes:
-        number: Differs from that of the server's previous result.
-        age_ms: The result's age when it was written.
+        number: Differs from the number of the server's previous result.
+        age_ms: The result's age when it was published.
         status: How the check ended.
-        elapsed_us: How long it took.
-        load_report: The server's load report, by the columns of the report.
+        elapsed_us: The check's duration.
+        load_report: The server's load report, in the order of the configured columns.
     """
 
     number: int
@@ -45,12 +45,12 @@
         self._last_number = 0
 
     def record(self, result: HealthCheckCompleted, now_us: int) -> None:
-        """Keep a result to publish it."""
+        """Record a result for publication."""
         self._last_number += 1
         self._results[result.server] = _OwnResult(self._last_number, now_us, result)
 
     def encode(self, servers: Collection[str], now_us: int) -> bytes:
-        """The results of listed servers that are young enough, as they are published; forgets other servers."""
+        """Encode the results of listed servers that are not too old, and remove the results of other servers."""
         self._results = {name: own for name, own in self._results.items() if name in servers}
         published = {
             name: PublishedHealthCheck(
@@ -67,32 +67,32 @@
 
 
 class PeerResults:
-    """Which of the other members' results have been received."""
+    """Tracks which results of other members have been received."""
 
     def __init__(self) -> None:
         self._revisions: dict[str, int] = {}
         self._numbers: dict[tuple[str, str], int] = {}  # by member and server
 
     def has_changed(self, member: str, revision: int) -> bool:
-        """Whether a member has published since the last call."""
+        """Report whether a member has published since the last call."""
         if self._revisions.get(member) == revision:
             return False
         self._revisions[member] = revision
         return True
 
     def new_results(self, member: str, data: bytes) -> Iterator[tuple[str, PublishedHealthCheck]]:
-        """Servers and their results that a member has published for the first time."""
+        """Yield the servers and results in a member's published data that have not been received before."""
         try:
             published = msgspec.json.decode(data, type=dict[str, PublishedHealthCheck])
         except (msgspec.DecodeError, msgspec.ValidationError):
-            return  # another version's: as if it had published nothing
+            return  # published by another version: ignored
         for server, result in published.items():
             if self._numbers.get((member, server)) != result.number:
                 self._numbers[member, server] = result.number
                 yield server, result
 
     def retain(self, members: Collection[str]) -> None:
-        """Forget those who are members no longer."""
+        """Forget members that are not in `members`."""
         lost = self._revisions.keys() - set(members)
         for member in lost:
             del self._revisions[member]
--- a/stoatgw/shared_health_checks/service.py
+++ b/stoatgw/shared_health_checks/service.py
@@ -1,4 +1,4 @@
-"""Wires shared health checks into a proxy. Loaded only where the operators' file has [membership] and [sharing]."""
+"""Creates a proxy's shared health checker. Imported only if the operators' file has [membership] and [sharing]."""
 
 from __future__ import annotations
 
@@ -21,7 +21,11 @@
     hooks: ProxyHooks,
     log: EventLog,
 ) -> SharedHealthChecker:
-    """The shared health checker of a deployment's proxy. Raises ConfigError."""
+    """Make the shared health checker of a proxy.
+
+    Raises:
+        ConfigError: The membership settings are invalid.
+    """
     identity = f"{deployment.name}-{secrets.token_hex(6)}"
     return SharedHealthChecker(
         SharedHealthCheckSettings(membership=membership, sharing=sharing, identity=identity),
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Shared health checks: assignment, takeover, and what that means for each server, in virtual time and by processes."""
+"""Shared health checks: assignment, takeover and check rates, in virtual time and with real proxy processes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @DETERMINISTIC
 @given(NAMES, st.integers(1, 200), st.data())
-def test_a_lost_member_moves_little_but_its_own_part(members: set[str], count: int, data: st.DataObject) -> None:
+def test_a_lost_member_moves_few_servers_of_others(members: set[str], count: int, data: st.DataObject) -> None:
     servers = [f"s-{index}" for index in range(count)]
     before = assign(servers, dict.fromkeys(members, 1.0))
     max_load = -(-MAX_LOAD_FACTOR * count // len(members))
@@ -35,20 +35,20 @@
     lost = data.draw(st.sampled_from(sorted(members)))
     after = assign(servers, dict.fromkeys(members - {lost}, 1.0))
     moved = [name for name in servers if before[name][0] != after[name][0] and before[name][0] != lost]
-    # A limit that grows with the loss frees some places near the top: servers that had been sent on come back.
+    # The load limit grows when a member is lost, so servers that had overflowed to a lower rank move back.
     assert len(moved) <= count // 2
     ranked = rank_members("s-1", dict.fromkeys(members, 1.0))
     assert ranked == rank_members("s-1", dict.fromkeys(sorted(members), 1.0))
 
 
-def test_a_weight_of_two_is_first_twice_as_often() -> None:
+def test_a_member_of_weight_two_is_ranked_first_twice_as_often() -> None:
     weights = {"a": 2.0, "b": 1.0, "c": 1.0}
     first = Counter(rank_members(f"s-{index}", weights)[0] for index in range(4000))
     assert 0.47 < first["a"] / 4000 < 0.53
 
 
 @pytest.mark.parametrize("is_receiving", [True, False])
-def test_a_server_of_another_member_is_taken_over_unless_this_proxy_is_cut_off(is_receiving: bool) -> None:
+def test_a_server_of_another_member_is_taken_over_unless_this_proxy_is_partitioned(is_receiving: bool) -> None:
     config = SharedHealthChecksConfig(check_interval_ms=250, takeover_delay_ms=900)
     assignment = HealthCheckAssignment("n0", config)
     servers = [f"s-{index}" for index in range(30)]
@@ -57,43 +57,44 @@
     assert sorted(assignment.select_due(250_000, is_receiving=is_receiving)) == sorted(own)
     due = assignment.select_due(900_000, is_receiving=is_receiving)
     assert sorted(due) == sorted(servers if is_receiving else own)
-    # A takeover in progress ends as well once nothing is received.
+    # A takeover in progress also ends when no results are received.
     assert sorted(assignment.select_due(1_200_000, is_receiving=False)) == sorted(own)
 
 
 @pytest.fixture
 def fleet() -> SimulatedFleet:
-    """Three proxies and thirty servers, checked steadily since a while."""
+    """Three proxies and thirty servers, with health checks in a steady state."""
     fleet = SimulatedFleet(3, 30)
     fleet.run(6.0)
     fleet.reset_measurement()
     return fleet
 
 
-def test_each_server_is_checked_once_for_all_and_every_proxy_receives_the_results(fleet: SimulatedFleet) -> None:
+def test_each_server_is_checked_by_one_proxy_and_all_receive_the_results(fleet: SimulatedFleet) -> None:
     fleet.run(4.0)
-    assert set(fleet.check_rates().values()) <= {3.75, 4.0, 4.25}  # four a second, from all three together
+    assert set(fleet.check_rates().values()) <= {3.75, 4.0, 4.25}  # 4 per second, from the three proxies together
     servers = {f"s-{index}" for index in range(30)}
     assert all(proxy.servers_reported >= servers for proxy in fleet.proxies)
     assert sum(len(proxy.checker.assigned_servers) for proxy in fleet.proxies) == 30
 
 
 @pytest.mark.parametrize("fault", list(ProxyFault))
-def test_when_a_proxy_is_lost_no_server_goes_unchecked_for_a_second_and_the_load_stays(
+def test_when_a_proxy_is_lost_check_gaps_stay_within_a_second_and_rates_stay_steady(
     fleet: SimulatedFleet, fault: ProxyFault
 ) -> None:
     fleet.inject_fault(0, fault)
     fleet.run(10.0)
     assert fleet.longest_gap_s() <= 1.0
-    # One that is cut off goes on by what it knows until its lease expires, then checks as without sharing.
+    # A partitioned proxy continues with its last assignment until its lease expires, then stops sharing.
     assert not fleet.proxies[0].checker.is_sharing
-    # Until then its servers are checked by two: at least once, not at most once.
+    # Until then its servers are checked by two proxies: sharing guarantees at least one check, not at most one.
     max_rate = 1.35 if fault is ProxyFault.CUT_OFF else 1.1
     assert all(0.9 <= rate / 4.0 <= max_rate for rate in fleet.check_rates().values())
 
 
 @pytest.mark.parametrize("fault", [ProxyFault.FROZEN, ProxyFault.CUT_OFF])
-def test_a_proxy_that_comes_back_takes_nobody_else_for_failed(fleet: SimulatedFleet, fault: ProxyFault) -> None:
+def test_a_recovered_proxy_takes_over_no_servers_of_others(fleet: SimulatedFleet, fault: ProxyFault) -> None:
+    """The missed results of a frozen or partitioned proxy must not make other members seem failed."""
     fleet.inject_fault(0, fault)
     fleet.run(10.0)
     fleet.reset_measurement()
@@ -107,7 +108,7 @@
     assert all(abs(rate / 4.0 - 1.0) <= 0.1 for rate in fleet.check_rates().values())
 
 
-def test_without_the_engine_each_proxy_checks_for_itself_and_no_more_often_than_requested() -> None:
+def test_without_the_engine_each_proxy_runs_just_the_checks_that_its_decisions_request() -> None:
     fleet = SimulatedFleet(3, 10)
     fleet.run(6.0)
     for index in range(3):
@@ -120,13 +121,13 @@
     assert fleet.check_rates() == {f"s-{index}": 1.0 if index == 3 else 0.0 for index in range(10)}
 
 
-def test_a_proxy_with_an_expired_lease_publishes_nothing_and_an_unknown_version_is_skipped() -> None:
+def test_an_expired_lease_prevents_publishing_and_unknown_formats_are_ignored() -> None:
     fleet = SimulatedFleet(2, 4)
     fleet.run(6.0)
     fleet.inject_fault(0, ProxyFault.FROZEN)
     fleet.run(4.0)
     results_before = fleet.proxies[1].peer_results
-    fleet.recover(0)  # it wakes, and writes before it has read anew
+    fleet.recover(0)  # it resumes, and tries to write before it has read a new snapshot
     fleet.poll(0)
     assert fleet.proxies[1].peer_results == results_before
     fleet.publish_garbage(1)
@@ -141,25 +142,25 @@
         ("[membership]\nengine = ['127.0.0.1:1']\n[sharing]\nstale_ms = 900", "sharing.stale_ms: under probe_ms"),
     ],
 )
-def test_bad_settings_are_one_line_that_names_file_and_field(tmp_path: Path, text: str, field: str) -> None:
+def test_the_error_for_invalid_settings_is_one_line_with_file_and_field(tmp_path: Path, text: str, field: str) -> None:
     assert_rejected_in_one_line(tmp_path, text, field)
 
 
 async def wait_for_checks(run: MaintenanceRun, count: int) -> None:
-    """Wait until each server has answered so many more health checks."""
+    """Wait until each server has answered `count` more health checks."""
     answered = {server.name: server.health_checks for server in run.servers}
     while not all(server.health_checks >= answered[server.name] + count for server in run.servers):
         await asyncio.sleep(0.02)
 
 
 async def wait_for_event(processes: list[ChildProcess], event: str, count: int = 1) -> None:
-    """Wait until each process has logged an event so often."""
+    """Wait until each process has logged an event `count` times."""
     while not all(len(process.events_named(event)) >= count for process in processes):
         await asyncio.sleep(0.02)
 
 
 def test_real_proxies_share_take_over_and_fall_back(tmp_path: Path) -> None:
-    """Three processes and the emulated engine: one is killed, then the engine. All servers go on being checked."""
+    """Checks continue after one of three proxy processes is killed, and after the engine is killed and restarted."""
     plan = MaintenancePlan(name="none", machines=("s-0",), min_members=99)  # starts nothing
 
     async def test() -> None:
