--- a/stoatgw/cli/__init__.py
+++ b/stoatgw/cli/__init__.py
@@ -1,5 +1,5 @@
-"""The command line `stoatgw`: it reads arguments, calls one function for each command, and prints what that gives.
+"""The command line `stoatgw`: parses arguments, calls one function for each command, and prints its result.
 
-Promises that whatever cannot be used ends in one line and status 2. The work itself is left to the lab, the service
-and the maintenance; each is imported only when one of its commands runs.
+Invalid arguments and input end a command with a one-line error and status 2. The lab, the service and the maintenance
+do the work; the lab and the service are imported only when one of their commands runs.
 """
--- a/stoatgw/cli/lab.py
+++ b/stoatgw/cli/lab.py
@@ -1,4 +1,4 @@
-"""`stoatgw lab`: play scenarios, compare two sets of runs, make reports, measure."""
+"""`stoatgw lab`: runs scenarios, compares experiments, writes reports, and measures performance."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def _report_errors(command: Callable[..., Any]) -> Callable[..., Any]:
-    """End a command with one line, as click ends it for its own errors, where the lab cannot do what was asked."""
+    """Convert the lab's errors into click's, so that a command ends with a one-line error."""
 
     @wraps(command)
     def wrapper(*args: Any, **kwargs: Any) -> Any:
@@ -34,13 +34,13 @@
 
 @click.group()
 def lab() -> None:
-    """Experiments in a world of our own, in virtual time or on sockets."""
+    """Run experiments in an emulated world, in virtual time or over loopback sockets."""
 
 
 @lab.command("list")
 @_report_errors
 def list_scenarios() -> None:
-    """List the scenarios that come with the program."""
+    """List the built-in scenarios."""
     from stoatgw.lab import commands
 
     _echo_lines(commands.list_scenarios())
@@ -54,25 +54,27 @@
     "policies",
     multiple=True,
     type=click.Choice(["module", "floor", "top"]),
-    help="What decides; may be repeated. Default: module, and in virtual time all three.",
+    help="The decision policy; may be repeated. Default: module, and in virtual time all three.",
 )
-@click.option("--seeds", type=click.IntRange(1, 10_000), default=8, show_default=True, help="So many seeds.")
+@click.option("--seeds", type=click.IntRange(1, 10_000), default=8, show_default=True, help="Number of seeds.")
 @click.option("--first-seed", type=click.IntRange(0, 1 << 40), default=0, show_default=True)
-@click.option("--set", "changes", multiple=True, metavar="PATH=VALUE", help="Change a field.")
-@click.option("--jobs", type=click.IntRange(1, 256), default=None, help="Runs at a time. Default: by the cores.")
+@click.option("--set", "changes", multiple=True, metavar="PATH=VALUE", help="Change a field of the scenario.")
+@click.option(
+    "--jobs", type=click.IntRange(1, 256), default=None, help="Runs in parallel. Default: by the number of cores."
+)
 @click.option("--events/--no-events", "keep_events", default=False, help="Keep the event log of each run.")
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="The experiment's folder.")
 @_report_errors
 def run(scenario: str, seeds: int, first_seed: int, jobs: int | None, **request_fields: Any) -> int:
-    """Play SCENARIO (a file, or a name from `lab list`) and keep the results in a folder.
+    """Run SCENARIO (a file, or a name from `lab list`) and store the results in a folder.
 
-    An interrupted run goes on where it stopped. Status 1: a rule was broken, or a run is void.
+    An interrupted experiment resumes where it stopped. Status 1: a rule was violated, or a run is void.
     """
     from stoatgw.lab import commands
     from stoatgw.lab.experiment import ExperimentRequest
     from stoatgw.lab.scenarios import find_scenario
 
-    # The other options have the names of the request's fields.
+    # The remaining options are named like the request's fields.
     request = ExperimentRequest(
         scenario_file=find_scenario(scenario), seeds=range(first_seed, first_seed + seeds), **request_fields
     )
@@ -84,11 +86,11 @@
 @click.argument("dir_b", type=click.Path(path_type=Path))
 @click.option("--policy-a", default="module", show_default=True)
 @click.option("--policy-b", default="module", show_default=True)
-@click.option("--csv", "csv_file", type=click.Path(path_type=Path), help="Write the table there too.")
-@click.option("--chart", type=click.Path(path_type=Path), help="Write a chart of the differences (PNG).")
+@click.option("--csv", "csv_file", type=click.Path(path_type=Path), help="Write the table to this file too.")
+@click.option("--chart", type=click.Path(path_type=Path), help="Write a chart of the differences to this file (PNG).")
 @_report_errors
 def compare(dir_a: Path, dir_b: Path, policy_a: str, policy_b: str, csv_file: Path | None, chart: Path | None) -> None:
-    """B less A over the seeds that both have, with 95% bootstrap intervals."""
+    """Compare two experiments: B minus A over their common seeds, with 95% bootstrap confidence intervals."""
     from stoatgw.lab import commands
 
     commands.compare_experiments(dir_a, policy_a, dir_b, policy_b, csv_file=csv_file, chart=chart)
@@ -98,7 +100,7 @@
 @click.argument("folder", type=click.Path(path_type=Path))
 @_report_errors
 def report(folder: Path) -> None:
-    """Make FOLDER/report.html, one self-contained page, and its charts as PNG."""
+    """Write FOLDER/report.html, a self-contained page, and its charts as PNG."""
     from stoatgw.lab.report import write_report
 
     click.echo(str(write_report(folder)))
@@ -109,7 +111,7 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder for the table and the chart.")
 @_report_errors
 def overview(folders: tuple[Path, ...], out: Path) -> None:
-    """Policies by scenario: a table (CSV) and a chart of many experiments."""
+    """Compare policies by scenario: a table (CSV) and a chart of several experiments."""
     from stoatgw.lab import commands
 
     commands.write_overview(list(folders), out)
@@ -124,12 +126,12 @@
     required=True,
     type=click.Path(path_type=Path),
     metavar="VIRTUAL LOOPBACK",
-    help="Two folders of one scenario; may be repeated.",
+    help="Two folders with results of one scenario; may be repeated.",
 )
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="Folder for the table and the chart.")
 @_report_errors
 def agree(pairs: tuple[tuple[Path, Path], ...], out: Path) -> None:
-    """Whether loopback runs show what virtual runs foretell."""
+    """Compare loopback runs with the virtual runs that predict them."""
     from stoatgw.lab import commands
 
     commands.write_agreement(list(pairs), out)
@@ -140,21 +142,23 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True)
 @_report_errors
 def speed(servers: tuple[int, ...], out: Path) -> None:
-    """Simulated seconds for each second of wall time, by the fleet's size, as a table and a chart."""
+    """Measure simulated seconds per second of wall time by fleet size, as a table and a chart."""
     from stoatgw.lab.speed import measure
 
     _echo_lines(measure(servers, out))
 
 
 @lab.command()
-@click.option("--seconds", type=click.FloatRange(0.5, 60.0), default=4.0, show_default=True, help="Of each round.")
-@click.option("--rounds", type=click.IntRange(1, 50), default=5, show_default=True, help="Pairs, in turn.")
-@click.option("--clients", type=click.IntRange(1, 512), default=16, show_default=True, help="At once.")
+@click.option(
+    "--seconds", type=click.FloatRange(0.5, 60.0), default=4.0, show_default=True, help="Duration of a round."
+)
+@click.option("--rounds", type=click.IntRange(1, 50), default=5, show_default=True, help="Number of alternating pairs.")
+@click.option("--clients", type=click.IntRange(1, 512), default=16, show_default=True, help="Concurrent clients.")
 @click.option("--standing", type=click.IntRange(100, 20_000), default=4000, show_default=True)
-@click.option("--out", type=click.Path(path_type=Path), help="Write the table there (CSV).")
+@click.option("--out", type=click.Path(path_type=Path), help="Write the table to this file (CSV).")
 @_report_errors
 def bench(seconds: float, rounds: int, clients: int, standing: int, out: Path | None) -> None:
-    """The proxy against a bare relay on one core: set-ups and lines a second, memory and descriptors."""
+    """Compare the proxy with a bare relay on one core: set-ups and lines per second, memory and descriptors."""
     from stoatgw.lab.bench.measure import measure
 
     _echo_lines(measure(seconds, rounds, clients, standing, out))
@@ -167,7 +171,7 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True)
 @_report_errors
 def upkeep(servers: int, bounds: tuple[int, ...], repeats: int, out: Path) -> None:
-    """Real proxies settle a rolling maintenance among themselves: how long it takes, as a table and a chart."""
+    """Measure how long real proxies take for a rolling maintenance, as a table and a chart."""
     from stoatgw.lab.maintenance_report import measure
 
     _echo_lines(measure(servers, bounds, repeats, out))
@@ -179,7 +183,7 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True)
 @_report_errors
 def sharing(sizes: tuple[int, ...], servers: int, out: Path) -> None:
-    """Probing shared among proxies, in virtual time: probes a server, take-over, calls to the engine."""
+    """Measure shared health checks in virtual time: checks of a server, takeover, and calls to the engine."""
     from stoatgw.lab.shared_health_checks import measure
 
     _echo_lines(measure(sizes, servers, out))
--- a/stoatgw/cli/main.py
+++ b/stoatgw/cli/main.py
@@ -1,4 +1,4 @@
-"""`stoatgw`: the groups of commands, and the exit status of each way to end."""
+"""`stoatgw`: the top-level command, and the exit statuses."""
 
 from __future__ import annotations
 
@@ -27,25 +27,23 @@
 def _version() -> str:
     try:
         return str(version("stoatgw"))
-    except PackageNotFoundError:  # run from a checkout
+    except PackageNotFoundError:  # runs from a source checkout
         return __version__
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(_version(), prog_name="stoatgw")
 def stoatgw() -> None:
-    """Places long-lived exercise-session connections on session servers."""
+    """Place long-lived exercise-session connections on session servers."""
 
 
 @stoatgw.command()
 @click.option(
     "--lb-config", "deployment_file", type=click.Path(), help="The platform's configuration; LB_CONFIG by default."
 )
-@click.option(
-    "--config", "operators_file", type=click.Path(), help="The operators' own file; STOATGW_CONFIG by default."
-)
+@click.option("--config", "operators_file", type=click.Path(), help="The operators' file; STOATGW_CONFIG by default.")
 def run(deployment_file: str | None, operators_file: str | None) -> int:
-    """Run the proxy in the foreground, as `python -m stoatgw` does."""
+    """Run the proxy in the foreground, like `python -m stoatgw`."""
     from stoatgw.service import main as serve
 
     if deployment_file is not None:
@@ -72,7 +70,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run a command; returns its status: 0, 1 for findings (broken rules), 2 for what cannot be used."""
+    """Run a command; return its status: 0, 1 for findings (violated rules), 2 for invalid arguments or input."""
     try:
         status: Any = stoatgw.main(arguments, prog_name="stoatgw", standalone_mode=False)
     except click.Abort:
--- a/stoatgw/cli/maintain.py
+++ b/stoatgw/cli/maintain.py
@@ -1,4 +1,4 @@
-"""`stoatgw maintain`: checks, shows and aborts a rolling maintenance, by the operators' file and the engine."""
+"""`stoatgw maintain`: checks a maintenance plan, and shows or aborts its rollout at the coordination engine."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from stoatgw.membership import etcd_api
 from stoatgw.membership.client import CallFailure, CoordinationClient, make_client
 
-MAX_ABORT_ATTEMPTS = 5  # each compares with the last state, which a proxy may change in between
+MAX_ABORT_ATTEMPTS = 5  # an attempt fails if a proxy changes the state between its read and its write
 
 CONFIG = click.option(
     "--config",
@@ -26,19 +26,19 @@
     envvar="STOATGW_CONFIG",
     required=True,
     type=click.Path(),
-    help="The operators' own file; STOATGW_CONFIG by default.",
+    help="The operators' file; STOATGW_CONFIG by default.",
 )
 
 
 @click.group()
 def maintain() -> None:
-    """See and stop a rolling maintenance that the proxies settle among themselves."""
+    """Show or abort a rolling maintenance that the proxies coordinate."""
 
 
 @maintain.command()
 @CONFIG
 def plan(path: str) -> int:
-    """Check the plan and print what it will do; asks no engine."""
+    """Validate the plan and print its machines; does not call the engine."""
     maintenance_plan = _load_config(path)[1]
     machines = maintenance_plan.machines
     servers = [name for name in machines if not name.startswith(PROXY_PREFIX)]
@@ -59,7 +59,7 @@
 @maintain.command()
 @CONFIG
 def status(path: str) -> int:
-    """What is out, done and left, and which proxy leads. Status 1 where a machine was late."""
+    """Show the leader, the steps and how many machines remain. Status 1 if a machine was late."""
     membership, maintenance_plan = _load_config(path)
     keys = MaintenanceKeys(membership.scope, maintenance_plan.name)
     snapshot = asyncio.run(_read_snapshot(make_client(membership), keys))
@@ -75,7 +75,7 @@
 @maintain.command()
 @CONFIG
 def abort(path: str) -> int:
-    """Begin no further step and bring back what is out. Another plan name begins anew."""
+    """Start no further step and return all machines to service. A plan with another name starts anew."""
     membership, maintenance_plan = _load_config(path)
     keys = MaintenanceKeys(membership.scope, maintenance_plan.name)
     click.echo(asyncio.run(_abort(make_client(membership), keys)))
@@ -83,7 +83,7 @@
 
 
 def _print_rollout(rollout: RolloutState, maintenance_plan: MaintenancePlan) -> int:
-    """Print a rollout's progress; the command's status."""
+    """Print a rollout's progress and return the command's status."""
     fingerprint = maintenance_plan.fingerprint
     if rollout.plan_fingerprint != fingerprint:
         click.echo(
@@ -105,7 +105,7 @@
 
 
 def _describe_progress(step: RolloutStep) -> str:
-    """How far a step that is under way has got."""
+    """Describe the progress of a step that has not ended."""
     if step.state is not StepState.OUT_OF_SERVICE:
         return ""
     if step.is_evacuated:
@@ -114,7 +114,11 @@
 
 
 def _load_config(path: str) -> tuple[MembershipConfig, MaintenancePlan]:
-    """The operators' membership and plan. Raises ConfigError."""
+    """Load the operators' membership settings and plan.
+
+    Raises:
+        ConfigError: The file is invalid, or has no plan.
+    """
     operators = load_operator_config(path)
     if operators.membership is None or operators.maintenance is None:
         raise ConfigError("missing", field="maintenance", file=path)
@@ -132,7 +136,7 @@
 
 
 async def _abort(client: CoordinationClient, keys: MaintenanceKeys) -> str:
-    """Mark the rollout as aborted, over the very state that was read; what to print."""
+    """Mark the rollout as aborted, provided that it is unchanged since it was read; return the text to print."""
     for _ in range(MAX_ABORT_ATTEMPTS):
         snapshot = await _read_snapshot(client, keys)
         rollout = snapshot.rollout
