--- a/stoatgw/config/membership.py
+++ b/stoatgw/config/membership.py
@@ -1,4 +1,4 @@
-"""The `[membership]` table of the operators' file."""
+"""The `[membership]` table of the operators' file. A proxy without such a file does not import this module."""
 
 from __future__ import annotations
 
--- a/stoatgw/config/operators.py
+++ b/stoatgw/config/operators.py
@@ -1,6 +1,7 @@
 """The operators' file (TOML): settings of this project that the platform's LB_CONFIG does not have.
 
-The file is optional. Every field but `version` has a default, which keeps the behaviour without a file.
+The file is optional; without it a proxy does not import this module. Every field but `version` has a default that
+keeps the behaviour without a file.
 """
 
 from __future__ import annotations
--- a/stoatgw/config/shared_health_checks.py
+++ b/stoatgw/config/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""The `[sharing]` table of the operators' file."""
+"""The `[sharing]` table of the operators' file. A proxy without such a file does not import this module."""
 
 from __future__ import annotations
 
--- a/stoatgw/config/toml.py
+++ b/stoatgw/config/toml.py
@@ -55,7 +55,7 @@
     try:
         return msgspec.convert(data, kind)
     except msgspec.ValidationError as error:
-        field, reason = _explain(str(error), names)
+        field, reason = _split_message(str(error), names)
         raise ConfigError(reason, field=field, file=source) from error
 
 
@@ -64,7 +64,7 @@
     return [name for table in tables for name in table.__struct_encode_fields__]
 
 
-def _explain(text: str, names: Iterable[str]) -> tuple[str, str]:
+def _split_message(text: str, names: Iterable[str]) -> tuple[str, str]:
     """Split a msgspec message into field and reason; for an unknown field the reason suggests the nearest name."""
     message, found, path = text.partition(" - at `$.")
     field = path.rstrip("`") if found else ""
--- a/stoatgw/maintenance/controller.py
+++ b/stoatgw/maintenance/controller.py
@@ -65,7 +65,8 @@
             return
         try:
             self._state = self._state_file.load()
-        except RolloutStateFileError as error:  # until the engine responds, no machine is known to be out of service
+        except RolloutStateFileError as error:
+            # The engine has the state as well; until it responds, no machine is known to be out of service.
             self._conditions.report(events.STATE_FILE_READ_FAILED, str(error))
         self._local.apply(self._state)
 
--- a/stoatgw/maintenance/rollout_leader.py
+++ b/stoatgw/maintenance/rollout_leader.py
@@ -119,7 +119,8 @@
             return None
         now_us = self._clocks.monotonic_us()
         if state is None:
-            # A proxy that has seen a state which the engine has lost since reports the loss within a lease's TTL.
+            # Wait for a lease's time to live: within it, a proxy that has seen a state that the engine has lost since
+            # reports the loss.
             if now_us - self._leader_since_us < self._lease_ttl_us:
                 return None
             return RolloutChange(RolloutState(plan_fingerprint=self._plan.fingerprint), RolloutEvent.ROLLOUT_STARTED)
--- a/stoatgw/maintenance/rollout_planner.py
+++ b/stoatgw/maintenance/rollout_planner.py
@@ -68,7 +68,7 @@
         start_times_ms = [member.start_ms for member in self.members.values() if PROXY_PREFIX + member.name == name]
         return MachineStatus("", True, max(start_times_ms)) if start_times_ms else None
 
-    def concerned_members(self, name: str) -> list[str]:
+    def confirming_members(self, name: str) -> list[str]:
         """Return the members that confirm a machine's step: all for a session server, a proxy's own for a proxy."""
         if not name.startswith(PROXY_PREFIX):
             return sorted(self.members)
@@ -164,7 +164,7 @@
         if state.is_aborted:
             return StepState.RELEASED
         machine = fleet.find(name)
-        # A proxy's step always ends by a restart: its new process is not the one that was drained.
+        # A restarted proxy always ends its step: the drained process is gone, so there is nothing left to wait for.
         ends_by_restart = self._plan.completion == "restarted" or name.startswith(PROXY_PREFIX)
         started_after_ms = state.steps[name].machine_start_ms
         has_restarted = machine is not None and machine.is_serving and machine.start_ms > started_after_ms
@@ -181,7 +181,7 @@
         step = state.steps[name]
         if self._waits_for_lost_member(name, step, fleet, now_us):
             return None
-        members = [fleet.members[identity] for identity in fleet.concerned_members(name)]
+        members = [fleet.members[identity] for identity in fleet.confirming_members(name)]
         if not step.is_notified:
             if not all(name in member.machines_out_of_service for member in members):
                 return None
@@ -193,7 +193,7 @@
         return RolloutChange(state.with_step(name, replace(step, is_evacuated=True)), RolloutEvent.STEP_EVACUATED, name)
 
     def _waits_for_lost_member(self, name: str, step: RolloutStep, fleet: FleetSnapshot, now_us: int) -> bool:
-        """Report whether a member of the step's start has been absent for less than the plan's timeout.
+        """Report whether a member that the step expects has been absent for less than the plan's timeout.
 
         An absent member is either dead, or partitioned and still serving; the two cannot be distinguished. After the
         timeout it counts as dead; a partitioned one that had seen the step has evacuated the machine by then.
@@ -259,6 +259,6 @@
             token=0,
             started_at_ms=0,
             machine_start_ms=machine.start_ms,
-            expected_members=tuple(fleet.concerned_members(name)),
+            expected_members=tuple(fleet.confirming_members(name)),
         )
         return RolloutChange(state.with_step(name, step), RolloutEvent.STEP_STARTED, name)
--- a/stoatgw/shared_health_checks/assignment.py
+++ b/stoatgw/shared_health_checks/assignment.py
@@ -49,7 +49,7 @@
     def _find_own_rank(self, ranked: list[str]) -> int:
         return ranked.index(self._identity) if self._identity in ranked else len(ranked)
 
-    def reset_ages(self, now_us: int) -> None:
+    def reset_last_checks(self, now_us: int) -> None:
         """Restart all takeover delays, since results that this proxy missed do not prove that other members failed."""
         self._last_check_us = dict.fromkeys(self._last_check_us, now_us)
         self._taken_over.clear()
--- a/stoatgw/shared_health_checks/checker.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -176,7 +176,7 @@
             return  # the snapshot may be stale, or the lease has expired
         self._last_member_us = self._now_us()
         if now_us - previous_us > self._max_gap_us:
-            self._assignment.reset_ages(now_us)
+            self._assignment.reset_last_checks(now_us)
         self._assignment.update(self._hooks.list_servers(), members, self._now_us())
         # A new report was written after the call for the previous snapshot, so its age grew by at most the time since.
         added_age_us = now_us - previous_us if previous_us else self._max_report_age_us + 1
--- a/stoatgw/simulator_wire/decoder.py
+++ b/stoatgw/simulator_wire/decoder.py
@@ -39,7 +39,7 @@
 
 
 class Decoder:
-    """Decodes the lines between TURN and GO; keeps the numbered endpoint lists, which all instances share."""
+    """Decodes the lines between TURN and GO; keeps the numbered endpoint lists (pages), which all instances share."""
 
     def __init__(self) -> None:
         self._pages: dict[int, tuple[Endpoint, ...]] = {}
--- a/stoatgw/simulator_wire/host.py
+++ b/stoatgw/simulator_wire/host.py
@@ -64,7 +64,7 @@
         if isinstance(message, Delivery) and message.instance not in self._instances:
             raise _not_running(message.instance, line_number)
         try:
-            actions = self._act(message, now_us)
+            actions = self._dispatch(message, now_us)
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
             self._replies.append(encode_crash(message.instance, repr(error)))
@@ -72,7 +72,7 @@
         for action in actions:
             self._replies.append(encode(message.instance, action))
 
-    def _act(self, message: Start | Delivery, now_us: int) -> list[Action]:
+    def _dispatch(self, message: Start | Delivery, now_us: int) -> list[Action]:
         if isinstance(message, Delivery):
             return self._instances[message.instance].handle(message.event, now_us)
         balancer = Balancer(message.settings, message.seed)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -212,9 +212,9 @@
     assert state_file.load() == state
     assert decode(data) == state
     for index in range(len(data)):
-        cut = data[:index]
-        changed = cut + bytes([data[index] ^ 1]) + data[index + 1 :]
-        for damaged in (cut, changed):
+        truncated = data[:index]
+        changed = truncated + bytes([data[index] ^ 1]) + data[index + 1 :]
+        for damaged in (truncated, changed):
             with pytest.raises(RolloutStateError):
                 decode(damaged)
     file = tmp_path / "stoatgw-maintenance-p"
--- a/tests/test_maintenance_controller.py
+++ b/tests/test_maintenance_controller.py
@@ -155,7 +155,7 @@
         if self.is_call_pending(index):
             self.responses[index] = CallFailure("never received", may_have_run=True)
 
-    def work_on_machines(self) -> None:
+    def restart_evacuated_machines(self) -> None:
         """Restart the evacuated machines, as staff do."""
         if not self.history:
             return
@@ -197,7 +197,7 @@
         case "restart":
             world.restart(index)
         case "work":
-            world.work_on_machines()
+            world.restart_evacuated_machines()
 
 
 def run_random_actions(folder: Path, seed: int) -> World:
@@ -217,7 +217,7 @@
 
 
 def test_random_actions_reach_steps_in_progress_and_done(tmp_path: Path) -> None:
-    """Guards the random tests against covering nothing."""
+    """Guards against random actions that never start or complete a step, with which the test above checks nothing."""
     reached: Counter[StepState] = Counter()
     for seed in range(5):
         folder = tmp_path / str(seed)
@@ -234,7 +234,7 @@
         world.now_us += SECOND_US
         world.finish_pass(0)
     while world.history[-1].machines_out_of_service():
-        world.work_on_machines()
+        world.restart_evacuated_machines()
         world.now_us += SECOND_US
         world.finish_pass(0)
     world.resume(0)
