--- a/stoatgw/lab/shared_health_checks.py
+++ b/stoatgw/lab/shared_health_checks.py
@@ -62,7 +62,7 @@
         self.is_frozen = False
         self.is_connected = True
         self.servers_reported: set[str] = set()  # of which the decisions have received any result
-        self.peer_results = 0
+        self.peer_result_count = 0
         self._is_own_result = False
         self.checker = SharedHealthChecker(
             SharedHealthCheckSettings(membership=fleet.membership, sharing=fleet.sharing, identity=self.name),
@@ -86,7 +86,7 @@
         if isinstance(message, HealthCheckCompleted):
             self.servers_reported.add(message.server)
             if not self._is_own_result:
-                self.peer_results += 1
+                self.peer_result_count += 1
 
     def _check(self, server: str) -> None:
         self._fleet.checks.append((self._fleet.now_us, server))
@@ -111,7 +111,7 @@
         now_us: The virtual time.
         checks: Time and server of each health check since the last `reset_measurement`.
         calls: Calls to the engine since then.
-        bytes: Their bytes, both ways.
+        transferred_bytes: Their bytes, both ways.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
         self.checks: list[tuple[int, str]] = []
         self._measured_since_us = self.now_us
         self.calls = 0
-        self.bytes = 0
+        self.transferred_bytes = 0
         self.proxies = [SimulatedProxy(self, index) for index in range(proxies)]
 
     def list_servers(self) -> list[str]:
@@ -148,7 +148,7 @@
             response = answer(self.store, path, body, self.now_us)
         except NotFoundError as error:
             return CallFailure(str(error), may_have_run=True)
-        self.bytes += len(orjson.dumps(body)) + len(orjson.dumps(response))
+        self.transferred_bytes += len(orjson.dumps(body)) + len(orjson.dumps(response))
         return response
 
     def run(self, duration_s: float) -> None:
@@ -168,7 +168,7 @@
         self.checks = []
         self._measured_since_us = self.now_us
         self.calls = 0
-        self.bytes = 0
+        self.transferred_bytes = 0
 
     @property
     def measured_s(self) -> float:
@@ -207,7 +207,7 @@
         """One reconcile pass of a proxy, whenever it would have been due."""
         self.proxies[index].poll()
 
-    def publish_garbage(self, index: int) -> None:
+    def publish_malformed_report(self, index: int) -> None:
         """Publish in a proxy's name what one of another version may publish."""
         key = f"{self.membership.scope}/sharing/reports/{self.proxies[index].name}"
         request = etcd_api.transaction([], [etcd_api.put_operation(key, b"{]")])
@@ -239,7 +239,7 @@
     fleet.run(MEASURED_S)
     rates = list(fleet.check_rates().values())
     calls_s = fleet.calls / MEASURED_S
-    bytes_s = fleet.bytes / MEASURED_S
+    bytes_s = fleet.transferred_bytes / MEASURED_S
     fleet.reset_measurement()
     assigned = set(fleet.proxies[0].checker.assigned_servers)
     fleet.inject_fault(0, ProxyFault.KILLED)
--- a/tests/test_shared_health_checks.py
+++ b/tests/test_shared_health_checks.py
@@ -126,11 +126,11 @@
     fleet.run(6.0)
     fleet.inject_fault(0, ProxyFault.FROZEN)
     fleet.run(4.0)
-    results_before = fleet.proxies[1].peer_results
+    results_before = fleet.proxies[1].peer_result_count
     fleet.recover(0)  # it resumes, and tries to write before it has read a new snapshot
     fleet.poll(0)
-    assert fleet.proxies[1].peer_results == results_before
-    fleet.publish_garbage(1)
+    assert fleet.proxies[1].peer_result_count == results_before
+    fleet.publish_malformed_report(1)
     fleet.run(1.0)
 
 
