--- a/stoatgw/lab/__init__.py
+++ b/stoatgw/lab/__init__.py
@@ -1,6 +1,6 @@
 """Experiments on the emulator: many seeds, two drivers, tables, charts, comparisons, and benches of the real proxy.
 
-Promises that results depend on the scenario and the seeds alone (not on jobs, hash seeds or the day), that an
-interrupted experiment goes on, and that nothing of another experiment is overwritten. It leaves the world itself to
-`stoatgw.emulator`, and is never imported by the service.
+Guarantees that results depend only on the scenario and the seeds (not on the number of jobs, the hash seed or the
+date), that an interrupted experiment can be resumed, and that no file of another experiment is overwritten. The
+emulated world itself is in `stoatgw.emulator`. The service never imports this package.
 """
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -1,9 +1,9 @@
-"""An experiment: a scenario, policies and seeds, with a folder that keeps what was asked for and every result.
+"""An experiment: a scenario, policies and seeds, with a folder for the request and every result.
 
-DIR/manifest.json     what was asked for: scenario, driver, policies, seeds, commit, versions
-DIR/scenario.toml     the scenario's file as it was read
-DIR/runs/P-S.json     the result of policy P on seed S; written completely or not at all
-DIR/events/P-S.jsonl.gz   its event log, where asked for
+DIR/manifest.json     the request: scenario, driver, policies, seeds, commit, versions
+DIR/scenario.toml     a copy of the scenario's file
+DIR/runs/P-S.json     the result of policy P on seed S; written atomically
+DIR/events/P-S.jsonl.gz   its event log, if requested
 DIR/runs.csv, runs.parquet, seconds.csv, seconds.parquet   the tables
 """
 
@@ -33,7 +33,7 @@
 from stoatgw.lab.run_task import RunTask, execute
 from stoatgw.lab.tables import write_tables
 
-CORES_PER_LOOPBACK_RUN = 2  # where there are as many
+CORES_PER_LOOPBACK_RUN = 2  # if the machine has that many
 MAX_JOBS = 256
 DEFAULT_POLICIES = {VIRTUAL: (MODULE, "floor", "top"), LOOPBACK: (MODULE,)}
 
@@ -42,16 +42,16 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExperimentRequest:
-    """What is asked for.
+    """The request for an experiment.
 
     Attributes:
         scenario_file: The scenario's file.
         out: The experiment's folder.
         driver: `virtual` or `loopback`.
-        policies: What decides, by name; none for the driver's default.
+        policies: Names of the policies that place the sessions; empty for the driver's default.
         seeds: Seeds of the runs.
-        changes: Changed fields, as PATH=VALUE.
-        keep_events: Whether the event log of each run is kept.
+        changes: Scenario fields to change, as PATH=VALUE.
+        keep_events: Whether to store the event log of each run.
     """
 
     scenario_file: Path
@@ -64,11 +64,11 @@
 
 
 class Experiment:
-    """A planned experiment, whose folder is its own.
+    """A planned experiment that has claimed its folder.
 
     Attributes:
-        scenario: The scenario, with its changes.
-        manifest: What the folder holds after the run, what it held before included.
+        scenario: The scenario, after its changes.
+        manifest: The folder's manifest after the run, including the policies and seeds already in it.
         out: The folder.
     """
 
@@ -80,16 +80,16 @@
 
     @classmethod
     def plan(cls, request: ExperimentRequest) -> Experiment:
-        """Check all that was asked for before anything is run or written, and claim the folder.
+        """Check the whole request before anything is run or written, and claim the folder.
 
         Raises:
-            LabError: The driver cannot run the policies, or the folder holds anything else.
+            LabError: The driver cannot run the policies, or the folder contains anything else.
             ScenarioError: The scenario cannot be used.
         """
         scenario = load_scenario(request.scenario_file, request.changes)
         policies = list(dict.fromkeys(request.policies or DEFAULT_POLICIES[request.driver]))
         if request.driver == LOOPBACK and policies != [MODULE]:
-            raise LabError("--policy: on loopback the real program runs, and its module alone decides")
+            raise LabError("--policy: the loopback driver runs the real program and supports only the policy module")
         manifest = Manifest(
             format=FORMAT,
             scenario=scenario.name,
@@ -106,7 +106,7 @@
         return experiment
 
     def tasks(self) -> list[RunTask]:
-        """All runs, by seed and policy."""
+        """Return all runs, by seed and policy."""
         result_folder = self.out / "runs"
         event_folder = self.out / "events" if self._keep_events else None
         return [
@@ -116,11 +116,11 @@
         ]
 
     def run(self, jobs: int | None, on_result: OnResult) -> list[Result]:
-        """Execute the runs that are missing, and write the tables.
+        """Execute the runs that have no stored result, and write the tables.
 
         Args:
-            jobs: Concurrent runs; None for as many as there are cores.
-            on_result: Called with each result as it is there.
+            jobs: Number of concurrent runs; None for the number of cores.
+            on_result: Called with each result once it is available.
 
         Returns:
             All results, in the order of the tasks.
@@ -129,23 +129,23 @@
         results: dict[str, Result] = {}
         missing: list[RunTask] = []
 
-        def keep(task: RunTask, result: Result) -> None:
-            """Keep a result and report it."""
+        def add_result(task: RunTask, result: Result) -> None:
+            """Add a result and report it."""
             results[task.name] = result
             on_result(result)
 
         for task in tasks:
-            kept = task.kept_result()
-            if kept is None:
+            stored = task.stored_result()
+            if stored is None:
                 missing.append(task)
             else:
-                keep(task, kept)
+                add_result(task, stored)
         jobs = self._limit_jobs(jobs, len(missing))
         if jobs == 1:
             for task in missing:
-                keep(task, execute(task))
+                add_result(task, execute(task))
         else:
-            _execute_parallel(missing, jobs, keep)
+            _execute_parallel(missing, jobs, add_result)
         ordered = [results[task.name] for task in tasks]
         write_tables(self.out, ordered)
         return ordered
@@ -158,13 +158,13 @@
         return min(jobs or cores, max(1, runs), max_jobs)
 
     def _claim_folder(self, scenario_file: Path) -> None:
-        """Create the folder, or go on in it if it holds this very experiment."""
+        """Create the folder, or resume the experiment if the folder contains this one."""
         if self.out.exists() and not self.out.is_dir():
-            raise LabError(f"{self.out}: is no folder")
+            raise LabError(f"{self.out}: is not a folder")
         if manifest_file(self.out).exists():
-            self._continue_experiment(read_manifest(self.out))
+            self._resume_experiment(read_manifest(self.out))
         elif self.out.is_dir() and any(self.out.iterdir()):
-            raise LabError(f"{self.out}: is not empty and holds no experiment; nothing was changed")
+            raise LabError(f"{self.out}: is not empty and contains no experiment; nothing was changed")
         try:
             (self.out / "runs").mkdir(parents=True, exist_ok=True)
             if self._keep_events:
@@ -174,22 +174,22 @@
         except OSError as error:
             raise LabError(f"{self.out}: cannot be written: {error.strerror}") from error
 
-    def _continue_experiment(self, held: Manifest) -> None:
-        """Add the policies and seeds that the folder holds."""
-        if not held.is_same_experiment(self.manifest):
+    def _resume_experiment(self, stored: Manifest) -> None:
+        """Add the policies and seeds of the folder's manifest to this one."""
+        if not stored.is_same_experiment(self.manifest):
             raise LabError(
-                f"{self.out}: holds another experiment ({held.scenario}, digest {held.scenario_digest}, "
-                f"{held.driver}, commit {held.commit}); nothing was changed"
+                f"{self.out}: contains another experiment ({stored.scenario}, digest {stored.scenario_digest}, "
+                f"{stored.driver}, commit {stored.commit}); nothing was changed"
             )
-        self.manifest.policies = list(dict.fromkeys([*held.policies, *self.manifest.policies]))
-        self.manifest.seeds = sorted({*held.seeds, *self.manifest.seeds})
+        self.manifest.policies = list(dict.fromkeys([*stored.policies, *self.manifest.policies]))
+        self.manifest.seeds = sorted({*stored.seeds, *self.manifest.seeds})
 
 
-def _execute_parallel(tasks: list[RunTask], jobs: int, keep: Callable[[RunTask, Result], None]) -> None:
-    """Execute runs in processes of their own; each running one has a slot, for its cores and networks."""
+def _execute_parallel(tasks: list[RunTask], jobs: int, add_result: Callable[[RunTask, Result], None]) -> None:
+    """Execute runs in separate processes; each running one has a slot, which selects its cores and networks."""
     queue = tasks[::-1]
     free_slots = list(range(jobs))
-    context = multiprocessing.get_context("spawn")  # nothing of this process leaks into a run
+    context = multiprocessing.get_context("spawn")  # a run inherits no state of this process
     with ProcessPoolExecutor(jobs, mp_context=context) as pool:
         running: dict[Future[Result], tuple[RunTask, int]] = {}
         try:
@@ -202,7 +202,7 @@
                 for future in finished:
                     task, slot = running.pop(future)
                     free_slots.append(slot)
-                    keep(task, future.result())
+                    add_result(task, future.result())
         except BaseException:
             pool.shutdown(wait=False, cancel_futures=True)
             raise
--- a/stoatgw/lab/manifest.py
+++ b/stoatgw/lab/manifest.py
@@ -1,4 +1,4 @@
-"""The manifest of an experiment: what was asked for, and with which program."""
+"""The manifest of an experiment: the requested runs and the versions of the program and its libraries."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 
 class Manifest(msgspec.Struct, kw_only=True):
-    """What an experiment's folder holds.
+    """The contents of an experiment's folder.
 
     Attributes:
         format: Version of the folder's layout.
         scenario: The scenario's name.
-        scenario_digest: Digest of the scenario with its changes.
-        changes: Changed fields, as PATH=VALUE.
+        scenario_digest: Digest of the scenario after its changes.
+        changes: Scenario fields changed on the command line, as PATH=VALUE.
         driver: `virtual` or `loopback`.
-        policies: What decides, by name.
+        policies: Names of the policies that place the sessions.
         seeds: Seeds of the runs.
-        commit: Version of the program.
-        versions: Versions of Python and the libraries.
+        commit: Git commit or release of the program.
+        versions: Versions of Python and the libraries, by name.
     """
 
     format: int
@@ -45,7 +45,7 @@
     versions: dict[str, str]
 
     def is_same_experiment(self, other: Manifest) -> bool:
-        """Whether both ask for the same, but for how many seeds and which policies."""
+        """Report whether both describe the same experiment; seeds and policies may differ."""
         return self._identity() == other._identity()
 
     def _identity(self) -> tuple[int, str, str, str]:
@@ -53,7 +53,7 @@
 
 
 def manifest_file(folder: Path) -> Path:
-    """Where an experiment's manifest is."""
+    """Return the path of an experiment's manifest."""
     return folder / "manifest.json"
 
 
@@ -61,7 +61,7 @@
     """Read an experiment's manifest.
 
     Raises:
-        LabError: The folder holds none that can be read.
+        LabError: The folder contains no readable manifest.
     """
     file = manifest_file(folder)
     try:
@@ -78,7 +78,7 @@
 
 
 def program_commit() -> str:
-    """The commit of the program that runs, with a mark where the tree differs from it; its release without git."""
+    """Return the program's commit, marked if the work tree differs from it; without git, its release."""
     try:
         described = subprocess.run(
             ["git", "describe", "--always", "--dirty", "--abbrev=12", "--exclude=*"],
@@ -94,7 +94,7 @@
 
 
 def library_versions() -> dict[str, str]:
-    """Versions of Python and of the libraries that results depend on."""
+    """Return the versions of Python and of the libraries that results depend on."""
     versions = {"python": platform.python_version()}
     for library in LIBRARIES:
         try:
--- a/stoatgw/lab/recording.py
+++ b/stoatgw/lab/recording.py
@@ -1,4 +1,4 @@
-"""What is recorded while a run goes on: rules, counts by second, utilization, and the scorecard."""
+"""Recording of a run: rule checks, counts per second, utilization, and the scorecard."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from stoatgw.lab.scorecard import Scorecard
 
 SAMPLE_INTERVAL_US = 1_000_000
-MAX_SERVERS_SHOWN = 40  # of a larger fleet only quantiles are kept
+MAX_SERVERS_SHOWN = 40  # for a larger fleet, only quantiles are stored
 NOT_SERVING = -1.0
 QUANTILES = (("p10", 0.1), ("p50", 0.5), ("p90", 0.9), ("p99", 0.99), ("max", 1.0))
-COUNTED = ("up", "busy", "err", "moved", "over", "sent", "cut")  # answers and events, by their names in the log
+COUNTED_NAMES = ("up", "busy", "err", "moved", "over", "sent", "cut")  # answers and events, as the event log names them
 COMPRESSION_LEVEL = 6
 
 
 class EventCounter:
-    """Counts answers and events by second, and collects the faults.
+    """Counter of answers and events per second, which also collects the faults.
 
     Attributes:
-        counts: By name, a count for each second.
-        faults: Time in seconds and text of each fault's begin and end.
+        counts: For each name, the count in each second.
+        faults: Time in seconds and text of the begin and end of each fault.
     """
 
     def __init__(self, scenario: Scenario) -> None:
         self._seconds = int(scenario.length_s + 0.999)
-        self.counts = {name: [0.0] * self._seconds for name in COUNTED}
+        self.counts = {name: [0.0] * self._seconds for name in COUNTED_NAMES}
         self.faults: list[tuple[float, str]] = []
 
     def feed(self, event: Event) -> None:
@@ -44,7 +44,7 @@
             self.faults.append((event.time_us / 1e6, event.detail))
             return
         if event.kind is EventKind.SESSION_ESTABLISHED:
-            return  # its answer is counted
+            return  # "up" is also the name of its answer, which is counted instead
         name = event.detail if event.kind is EventKind.REQUEST_ANSWERED else event.kind.value
         second = event.time_us // 1_000_000
         if name in self.counts and 0 <= second < self._seconds:
@@ -53,13 +53,13 @@
 
 @dataclass(slots=True)
 class DeferredScorecard:
-    """Hands events to a scorecard that can be made only once the world is there; keeps those that came before."""
+    """Forwards events to a scorecard that is created with the world, and buffers the events recorded before that."""
 
     scorecard: Scorecard | None = None
     _pending: list[Event] = field(default_factory=list)
 
     def feed(self, event: Event) -> None:
-        """Hand over one event, after those that were kept."""
+        """Forward one event, after any buffered ones."""
         if self.scorecard is None:
             self._pending.append(event)
             return
@@ -70,13 +70,13 @@
 
 
 class RunRecording:
-    """All that listens to one run.
+    """The event listeners of one run.
 
     Attributes:
-        sink: Where the run's events go.
-        checker: Checks the rules.
-        counter: Counts by second.
-        utilization: Load over capacity, filled while the run goes on.
+        sink: Receives the run's events.
+        checker: Checks the rules on the events.
+        counter: Counts the events per second.
+        utilization: Load divided by capacity by second, per server or quantile; filled during the run.
     """
 
     def __init__(self, scenario: Scenario, event_file: gzip.GzipFile | None) -> None:
@@ -88,17 +88,17 @@
 
     @property
     def scorecard(self) -> Scorecard:
-        """The scorecard; only after `observe`."""
+        """The scorecard; available after `observe`."""
         if self._deferred.scorecard is None:
-            raise RuntimeError("the world was not observed")
+            raise RuntimeError("observe() has not been called")
         return self._deferred.scorecard
 
     def observe(self, world: WorldState) -> dict[str, list[float]]:
-        """Begin to score and to sample a world before it runs; returns `utilization`."""
+        """Set up the scorecard and the utilization samples of a world before it runs; return `utilization`."""
         self._deferred.scorecard = make_scorecard(world)
         self._deferred.scorecard = make_scorecard(world)
         for second in range(int(world.scenario.length_s)):
-            # 1 us later, so that what happens on the second is seen.
+            # 1 us after the full second, so that the sample includes events at that second.
             at_us = world.start_us + second * SAMPLE_INTERVAL_US + 1
             world.scheduler.call_at(at_us, partial(self._sample_utilization, world, second))
         return self.utilization
@@ -121,26 +121,26 @@
 
 @contextmanager
 def record_run(scenario: Scenario, event_file: Path | None) -> Iterator[RunRecording]:
-    """Record a run; `event_file` is where the event log goes (gzip), if it is kept."""
+    """Record a run; the event log is written to `event_file` (gzip) unless it is None."""
     with ExitStack() as stack:
-        log = None
+        gzip_file = None
         if event_file is not None:
-            # Without a time in it, so that the same run gives the same bytes.
-            log = stack.enter_context(gzip.GzipFile(event_file, "wb", COMPRESSION_LEVEL, mtime=0))
-        yield RunRecording(scenario, log)
+            # mtime=0 keeps the time out of the gzip header, so that the same run gives the same bytes.
+            gzip_file = stack.enter_context(gzip.GzipFile(event_file, "wb", COMPRESSION_LEVEL, mtime=0))
+        yield RunRecording(scenario, gzip_file)
 
 
 def checker_limits(scenario: Scenario) -> CheckerLimits:
-    """The scenario's figures that the checker's rules depend on."""
+    """Return the limits of the checker's rules that the scenario sets."""
     rules = scenario.module
     return CheckerLimits(round(rules.drain_grace_ms * 1000), rules.fall_multiple, round(rules.fall_ms * 1000))
 
 
 def make_scorecard(world: WorldState) -> Scorecard:
-    """A scorecard of a world's clients."""
+    """Create the scorecard for a world's clients."""
 
     def utilization(name: str) -> float:
-        """A server's load over capacity; 0 where it does not serve."""
+        """Return a server's load divided by capacity; 0 while it does not serve."""
         server = world.servers.get(name)
         is_serving = server is not None and server.lifecycle is ServerLifecycle.SERVING
         return server.utilization if server is not None and is_serving else 0.0
--- a/stoatgw/lab/result.py
+++ b/stoatgw/lab/result.py
@@ -1,45 +1,45 @@
-"""The result of one run, as it is stored."""
+"""The stored result of one run."""
 
 from __future__ import annotations
 
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-VIRTUAL = "virtual"  # the driver in virtual time
-LOOPBACK = "loopback"  # the driver of real proxies on 127.0.0.0/8
-MODULE = "module"  # the policy under test: the project's own decisions
+VIRTUAL = "virtual"  # the driver that runs in virtual time
+LOOPBACK = "loopback"  # the driver that runs real proxies on 127.0.0.0/8
+MODULE = "module"  # the policy under test: this project's balancer
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """What one run showed. No time of day, path or machine is in it.
+    """Measurements of one run; they contain no time of day, path or machine name.
 
     Attributes:
         scenario: The scenario's name.
-        scenario_digest: Digest of all that the run depended on but the seed.
+        scenario_digest: Digest of everything that the run depended on, except the seed.
         seed: Seed of the run's random draws.
-        policy: What decided.
+        policy: Name of the policy that placed the sessions.
         driver: `virtual` or `loopback`.
-        void_reason: Why the run does not count; empty if it does.
-        service: Shares from 0 to 1: of the run, of its worst window, of the worst class, and of each class.
-        goal: The operators' figure of the run.
-        totals: What clients and proxies did, counted by the driver.
-        shares: Priced shares, such as sessions across zones and wasted attempts.
-        violations: The first broken rules, as text.
-        violation_count: All broken rules.
-        event_count: Records of the event log.
+        void_reason: Why the run is void, which excludes it from means; empty for a valid run.
+        service: Served share of the demanded weight, 0 to 1: whole run, worst window, worst class, and each class.
+        goal: Score of the run: weighted service minus the penalties for `shares`.
+        totals: Counts of what clients and proxies did, kept by the driver.
+        shares: Shares that the goal penalizes, such as session time across zones and wasted attempts.
+        violations: The first rule violations, as text.
+        violation_count: Number of all rule violations.
+        event_count: Number of events in the event log.
         events_digest: Digest of the event log.
-        checker_counts: What the checker counted.
-        faults: Time in seconds and text of each fault's begin and end.
-        demanded_weight: Priority weight asked for, by class and second.
-        earned_weight: Priority weight well served, by class and second.
+        checker_counts: Counts kept by the checker.
+        faults: Time in seconds and text of the begin and end of each fault.
+        demanded_weight: Priority weight demanded, by class and second.
+        earned_weight: Priority weight served in time, by class and second.
         class_names: Names of the request classes, by index.
         counts_by_second: Answers, migrations and attempts in each second.
-        utilization: Load over capacity at each second, by server or quantile; -1 where the server did not serve.
-        setup_histograms: HDR histograms of set-up times in microseconds, by class, base64.
-        proxy_count: Proxies of the scenario.
-        server_count: Servers of the scenario.
-        initial_sessions: Sessions established at the start.
-        recovery: Figures of the scorecard.
+        utilization: Load divided by capacity at each second, by server or quantile; -1 while the server did not serve.
+        setup_histograms: HDR histograms of set-up times in microseconds, by class, base64 encoded.
+        proxy_count: Number of proxies in the scenario.
+        server_count: Number of servers in the scenario.
+        initial_sessions: Number of sessions established at the start.
+        recovery: Metrics of the scorecard.
     """
 
     scenario: str
@@ -70,7 +70,7 @@
     recovery: dict[str, float] = {}
 
     def setup_times(self) -> HdrHistogram:
-        """Set-up times of all classes together, in microseconds."""
+        """Return the set-up times of all classes together, in microseconds."""
         total, *others = (HdrHistogram.decode(text.encode()) for text in self.setup_histograms)
         for histogram in others:
             total.add(histogram)
@@ -78,7 +78,7 @@
 
 
 def encode_result(result: Result) -> bytes:
-    """The result as it is stored: indented JSON, the same bytes for the same run."""
+    """Encode a result for storage: indented JSON, byte for byte the same for the same run."""
     return msgspec.json.format(msgspec.json.encode(result, order="deterministic"), indent=1) + b"\n"
 
 
@@ -86,6 +86,6 @@
     """Read a stored result.
 
     Raises:
-        msgspec.DecodeError: It is none, or was cut off.
+        msgspec.DecodeError: The data is not a result, or is truncated.
     """
     return msgspec.json.decode(data, type=Result)
--- a/stoatgw/lab/run_task.py
+++ b/stoatgw/lab/run_task.py
@@ -1,4 +1,4 @@
-"""One run of an experiment as a task: it may be executed in a process of its own, and keeps its result in a file."""
+"""One run of an experiment as a task, which can be executed in a separate process and stores its result in a file."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 from stoatgw.lab.result import LOOPBACK, Result, decode_result, encode_result
 from stoatgw.lab.runner import run_loopback, run_virtual
 
-NETWORKS_PER_SLOT = 10  # of the networks that one loopback run uses, to the next one's
+NETWORKS_PER_SLOT = 10  # distance between the loopback networks of two concurrent runs
 
 
 @dataclass(frozen=True, slots=True)
 class RunTask:
-    """One run: scenario, driver, policy and seed, and the folders for what it gives.
+    """One run: scenario, driver, policy and seed, and the folders for its output.
 
     Attributes:
-        scenario: The scenario, with its changes.
+        scenario: The scenario, after its changes.
         driver: `virtual` or `loopback`.
-        policy: What decides, by name.
+        policy: Name of the policy that places the sessions.
         seed: Seed of the run.
-        result_folder: Where its result is kept.
-        event_folder: Where its event log is kept, or None if it is not.
+        result_folder: Folder for the result.
+        event_folder: Folder for the event log; None to store none.
     """
 
     scenario: Scenario
@@ -47,16 +47,16 @@
 
     @property
     def event_file(self) -> Path | None:
-        """The run's event log, or None if it is not kept."""
+        """The run's event log file; None if none is stored."""
         return self.event_folder / f"{self.name}.jsonl.gz" if self.event_folder is not None else None
 
     @property
     def result_file(self) -> Path:
-        """The run's result."""
+        """The run's result file."""
         return result_file(self.result_folder, self.policy, self.seed)
 
-    def kept_result(self) -> Result | None:
-        """The result of an earlier execution, if it counts and all that is asked for was kept."""
+    def stored_result(self) -> Result | None:
+        """Return the result of an earlier execution if it is valid and the requested files exist, else None."""
         result = read_result(self.result_file)
         if result is None or result.void_reason:
             return None
@@ -66,30 +66,30 @@
 
 
 def run_name(policy: str, seed: int) -> str:
-    """The name of a run within its experiment."""
+    """Return the name of a run within its experiment."""
     return f"{policy}-{seed}"
 
 
 def result_file(folder: Path, policy: str, seed: int) -> Path:
-    """Where a run's result is kept."""
+    """Return the path of a run's result."""
     return folder / f"{run_name(policy, seed)}.json"
 
 
 def execute(task: RunTask, slot: int = 0, slots: int = 1) -> Result:
-    """Execute a run and keep its result. On loopback, `slot` of `slots` gives it cores and networks of its own."""
+    """Execute a run and store its result; on loopback, `slot` of `slots` selects the cores and networks it uses."""
     if task.driver == LOOPBACK:
-        with _own_cores(slot, slots):
+        with _restricted_cores(slot, slots):
             result = run_loopback(task.scenario, task.seed, task.event_file, NETWORKS_PER_SLOT * slot)
     else:
         result = run_virtual(task.scenario, task.seed, task.policy, task.event_file)
     data = encode_result(result)
     write_atomically(task.result_file, data)
-    return decode_result(data)  # as it is read when the experiment goes on: the tables are the same either way
+    return decode_result(data)  # as read back by a resumed experiment, so that the tables are the same
 
 
 @contextmanager
-def _own_cores(slot: int, slots: int) -> Iterator[None]:
-    """Restrict this process to its slot's cores, as far as there are enough."""
+def _restricted_cores(slot: int, slots: int) -> Iterator[None]:
+    """Restrict this process to its slot's cores; to all allowed cores if there are too few for a slot."""
     allowed = os.sched_getaffinity(0)
     cores = sorted(allowed)
     cores_per_slot = max(1, len(cores) // slots)
@@ -101,7 +101,7 @@
 
 
 def read_result(file: Path) -> Result | None:
-    """A stored result; None where there is none that can be read, so that it is executed again."""
+    """Read a stored result; return None if it is missing or unreadable, so that the run is executed again."""
     try:
         return decode_result(file.read_bytes())
     except (OSError, msgspec.DecodeError):
@@ -109,10 +109,10 @@
 
 
 def read_results(folder: Path) -> list[Result]:
-    """All results of an experiment, in the order of its seeds and policies.
+    """Read all results of an experiment, in the order of its seeds and policies.
 
     Raises:
-        LabError: The folder holds no experiment, no results, or one that cannot be read.
+        LabError: The folder contains no experiment, no results, or an unreadable result.
     """
     manifest = read_manifest(folder)
     results = []
@@ -123,8 +123,8 @@
                 continue
             result = read_result(file)
             if result is None:
-                raise LabError(f"{file}: holds no result")
+                raise LabError(f"{file}: is not a readable result")
             results.append(result)
     if not results:
-        raise LabError(f"{folder}: holds no results yet")
+        raise LabError(f"{folder}: contains no results yet")
     return results
--- a/stoatgw/lab/runner.py
+++ b/stoatgw/lab/runner.py
@@ -1,4 +1,4 @@
-"""One run, from scenario and seed to a result that is the same whoever makes it."""
+"""One run, from a scenario and a seed to a reproducible result."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class _FinishedRun:
-    """A run that is over, with what its driver counted."""
+    """A finished run, with the counts of its driver."""
 
     seed: int
     policy: str
     driver: str
     world: WorldState
     totals: dict[str, int]
-    setup_times_us: list[tuple[int, int]]  # class and time
+    setup_times_us: list[tuple[int, int]]  # request class and set-up time
     utilization: dict[str, list[float]]
     void_reason: str = ""
 
 
 def run_virtual(scenario: Scenario, seed: int, policy: str, event_file: Path | None = None) -> Result:
-    """Run in virtual time; `event_file` is where the event log goes (gzip), if it is kept."""
+    """Run in virtual time; the event log is written to `event_file` (gzip) unless it is None."""
     with record_run(scenario, event_file) as recording:
         driver = VirtualDriver(scenario, seed, recording.sink, POLICIES[policy])
         recording.observe(driver.world)
@@ -54,8 +54,8 @@
 
 
 def run_loopback(scenario: Scenario, seed: int, event_file: Path | None = None, network_offset: int = 0) -> Result:
-    """Run real proxies on 127.0.0.0/8, in real time; `network_offset` moves the networks that it uses."""
-    # Imported here: most uses of this module run in virtual time.
+    """Run real proxies on 127.0.0.0/8 in real time; `network_offset` is added to the numbers of the networks used."""
+    # Imported here because most uses of this module run in virtual time only.
     from stoatgw.emulator.loopback import driver as loopback
 
     with record_run(scenario, event_file) as recording:
@@ -81,9 +81,9 @@
     checker = recording.checker
     checker.finish(world.length_us + SETTLE_US)
     service = accounting.service_shares()
-    shares = _priced_shares(run.totals, max(1, len(world.population)))
+    shares = _penalized_shares(run.totals, max(1, len(world.population)))
     faults = recording.counter.faults
-    recovery = recording.scorecard.compute_figures(
+    recovery = recording.scorecard.compute_metrics(
         accounting.demanded_weight, accounting.earned_weight, run.utilization, faults
     )
     return Result(
@@ -103,8 +103,8 @@
         events_digest=world.sink.digest,
         checker_counts=checker.counts,
         faults=faults,
-        demanded_weight=_rounded(accounting.demanded_weight.tolist()),
-        earned_weight=_rounded(accounting.earned_weight.tolist()),
+        demanded_weight=_round_rows(accounting.demanded_weight.tolist()),
+        earned_weight=_round_rows(accounting.earned_weight.tolist()),
         class_names=[request_class.name for request_class in scenario.clients.classes],
         counts_by_second=recording.counter.counts,
         utilization=run.utilization,
@@ -116,8 +116,8 @@
     )
 
 
-def _priced_shares(totals: dict[str, int], clients: int) -> dict[str, float]:
-    """What the goal prices, as shares from 0 up."""
+def _penalized_shares(totals: dict[str, int], clients: int) -> dict[str, float]:
+    """Return the shares that the goal penalizes, from 0 up."""
     return {
         "cross_zone": totals["cross_us"] / max(1, totals["stood_us"]),
         "waste": totals["wasted"] / max(1, totals["attempts"]),
@@ -128,12 +128,12 @@
 
 
 def _setup_histograms(setup_times_us: list[tuple[int, int]], classes: int) -> list[str]:
-    """HDR histograms by class, base64; times over the limit count as the limit."""
+    """Encode one HDR histogram per class (base64); times over MAX_SETUP_TIME_US count as that limit."""
     histograms = [HdrHistogram(1, MAX_SETUP_TIME_US, HISTOGRAM_DIGITS) for _ in range(classes)]
     for request_class, time_us in setup_times_us:
         histograms[request_class].record_value(min(MAX_SETUP_TIME_US, max(1, time_us)))
     return [histogram.encode().decode() for histogram in histograms]
 
 
-def _rounded(rows: list[list[float]]) -> list[list[float]]:
+def _round_rows(rows: list[list[float]]) -> list[list[float]]:
     return [[round(value, 6) for value in row] for row in rows]
--- a/stoatgw/lab/scorecard.py
+++ b/stoatgw/lab/scorecard.py
@@ -43,7 +43,7 @@
 
 
 class Scorecard:
-    """Feed it every event; then `compute_figures`.
+    """Feed it every event; then `compute_metrics`.
 
     Attributes:
         lost_weight: Priority weight lost, in weighted seconds, by cause.
@@ -96,7 +96,7 @@
             case _:
                 pass
 
-    def compute_figures(
+    def compute_metrics(
         self,
         demanded_weight: np.ndarray,
         earned_weight: np.ndarray,
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -82,13 +82,13 @@
     out = tmp_path / "x"
     plan(out, seeds=1)
     before = read_files(tmp_path)
-    with pytest.raises(LabError, match="holds another experiment"):
+    with pytest.raises(LabError, match="contains another experiment"):
         plan(out, seeds=1, changes=(*SHORT, "clients.load=0.2"))
     (tmp_path / "mine").mkdir()
     (tmp_path / "mine" / "letter").write_text("dear")
     with pytest.raises(LabError, match="is not empty"):
         plan(tmp_path / "mine")
-    with pytest.raises(LabError, match="is no folder"):
+    with pytest.raises(LabError, match="is not a folder"):
         plan(tmp_path / "mine" / "letter")
     assert read_files(out) == {name[2:]: data for name, data in before.items()}
 
@@ -265,7 +265,7 @@
         (12_500_000, EventKind.SESSION_ESTABLISHED, "n", "u", "c", 0, "0"),
         (15_000_000, EventKind.SESSION_ENDED, "n", "u", "", 0, "broken"),
     )
-    figures = scorecard.compute_figures(np.full((1, 20), 2.0), np.full((1, 20), 1.0), {}, [])
+    figures = scorecard.compute_metrics(np.full((1, 20), 2.0), np.full((1, 20), 1.0), {}, [])
     assert figures["lost_setting_up"] == pytest.approx(1.5 / 20)
     assert figures["lost_refused"] == pytest.approx(1.5 / 20)
     assert figures["lost_moved"] == pytest.approx(1.5 / 20)
