--- a/stoatgw/lab/bench/measure.py
+++ b/stoatgw/lab/bench/measure.py
@@ -12,7 +12,7 @@
 from stoatgw.lab.bench.load import Workload
 from stoatgw.lab.bench.proxy_config import descriptors_for
 from stoatgw.lab.bench.rig import BenchRig, Target
-from stoatgw.lab.compare import interval
+from stoatgw.lab.compare import confidence_interval
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.tables import Value, write_csv
 
@@ -61,7 +61,7 @@
         pairs.append((rates[Target.PROXY], rates[Target.RELAY]))
     proxy_rates, relay_rates = np.array(pairs).T
     ratios = proxy_rates / relay_rates
-    low, high = interval(ratios)
+    low, high = confidence_interval(ratios)
     return {
         "what": f"{workload.value} a second",
         "proxy": round(float(np.median(proxy_rates)), 1),
--- a/stoatgw/lab/commands.py
+++ b/stoatgw/lab/commands.py
@@ -1,4 +1,4 @@
-"""What the commands of `stoatgw lab` do, each as one function; lines for people are printed or yielded."""
+"""The commands of `stoatgw lab`, one function each; text output is printed or yielded line by line."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def list_scenarios() -> Iterator[str]:
-    """Name and description of each scenario that comes with the program.
+    """Yield the name and the description of each scenario that is shipped with the program.
 
     Raises:
-        ScenarioError: One of them cannot be used.
+        ScenarioError: One of the scenarios cannot be used.
     """
     for path in sorted(scenario_folder().glob("*.toml")):
         scenario = load_scenario(path)
@@ -27,10 +27,10 @@
 
 
 def run_experiment(request: ExperimentRequest, jobs: int | None) -> int:
-    """Run an experiment with a progress bar and print its summary; returns 1 if a rule was broken or a run is void.
+    """Run an experiment with a progress bar and print its summary; return 1 if a rule was violated or a run is void.
 
     Raises:
-        LabError: What is asked for cannot be run, or the folder holds anything else.
+        LabError: The request cannot be run, or the folder contains anything else.
         ScenarioError: The scenario cannot be used.
     """
     experiment = Experiment.plan(request)
@@ -42,13 +42,13 @@
 def compare_experiments(
     dir_a: Path, policy_a: str, dir_b: Path, policy_b: str, *, csv_file: Path | None, chart: Path | None
 ) -> None:
-    """Print B less A, and write it as a table and a chart where these are asked for.
+    """Print B minus A, and write it as a table to `csv_file` and as a chart to `chart` unless these are None.
 
     Raises:
-        LabError: A folder holds no such results, or no seed was run on both sides.
+        LabError: A folder contains no results of the policy, or no seed was run on both sides.
     """
     differences = compare_folders(dir_a, policy_a, dir_b, policy_b)
-    print_comparison(differences, f"{dir_b} ({policy_b}) less {dir_a} ({policy_a})")
+    print_comparison(differences, f"{dir_b} ({policy_b}) minus {dir_a} ({policy_a})")
     if csv_file is not None:
         write_csv(csv_file, [difference.as_row() for difference in differences])
     if chart is not None:
@@ -56,10 +56,10 @@
 
 
 def write_overview(folders: list[Path], out: Path) -> None:
-    """Print policies by scenario; the table goes to OUT/scenarios.csv, the chart to OUT/scenarios.png.
+    """Print policies by scenario, and write the table to OUT/scenarios.csv and the chart to OUT/scenarios.png.
 
     Raises:
-        LabError: A folder holds no results, or only void ones.
+        LabError: A folder contains no results, or only void ones.
     """
     rows, services = policies_by_scenario(folders)
     out.mkdir(parents=True, exist_ok=True)
@@ -69,14 +69,14 @@
 
 
 def write_agreement(pairs: list[tuple[Path, Path]], out: Path) -> None:
-    """Print loopback against virtual runs; the table goes to OUT/agreement.csv, the chart to OUT/agreement.png.
+    """Print loopback compared with virtual runs; write the table to OUT/agreement.csv, the chart to OUT/agreement.png.
 
     Raises:
-        LabError: A folder holds no results, or a pair has no seed or not the scenario in common.
+        LabError: A folder contains no results, or the two of a pair differ in scenario or have no seed in common.
     """
     agreements = [each for virtual, loopback in pairs for each in compare_drivers(virtual, loopback)]
     rows = [agreement.as_row() for agreement in agreements]
     out.mkdir(parents=True, exist_ok=True)
     write_csv(out / "agreement.csv", rows)
     draw_agreement(agreements, out / "agreement.png")
-    print_rows(rows, "loopback against virtual")
+    print_rows(rows, "loopback compared with virtual")
--- a/stoatgw/lab/compare.py
+++ b/stoatgw/lab/compare.py
@@ -1,4 +1,4 @@
-"""Two sets of runs on the same seeds: the mean difference of each figure, with a bootstrap interval."""
+"""Comparison of two sets of runs on the same seeds: mean difference of each metric, with a bootstrap interval."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure: its mean in A and B, and B less A with the interval's ends."""
+    """One metric: its mean in A and in B, and the difference B minus A with its confidence interval."""
 
     name: str
     mean_a: float
@@ -31,11 +31,11 @@
 
     @property
     def is_significant(self) -> bool:
-        """Whether the interval leaves out zero."""
+        """Whether the confidence interval excludes zero."""
         return self.low > 0.0 or self.high < 0.0
 
     def as_row(self) -> dict[str, Value]:
-        """The table's row."""
+        """Return the table row."""
         return {
             "figure": self.name,
             "a": round(self.mean_a, 6),
@@ -47,8 +47,8 @@
         }
 
 
-def interval(values: np.ndarray) -> tuple[float, float]:
-    """The bootstrap interval of a mean (percentiles), from a fixed stream: the same for the same values."""
+def confidence_interval(values: np.ndarray) -> tuple[float, float]:
+    """Return the percentile bootstrap interval of a mean; a fixed random seed makes it the same for the same values."""
     if len(values) < 2:
         return float("-inf"), float("inf")
     draws = np.random.Generator(np.random.PCG64(0)).integers(0, len(values), (RESAMPLES, len(values)))
@@ -57,15 +57,15 @@
 
 
 def format_mean(values: np.ndarray) -> str:
-    """A mean with its interval, where there is one."""
+    """Format a mean, with its confidence interval if there are at least two values."""
     if len(values) < 2:
         return f"{values.mean():.3f}"
-    low, high = interval(values)
+    low, high = confidence_interval(values)
     return f"{values.mean():.3f} [{low:.3f}, {high:.3f}]"
 
 
 def compare(results_a: list[Result], results_b: list[Result]) -> list[Difference]:
-    """Pair results by seed; void runs do not count.
+    """Compare results paired by seed, without void runs.
 
     Raises:
         LabError: No seed was run on both sides.
@@ -74,12 +74,12 @@
     metrics_b = _metrics_by_seed(results_b)
     seeds = sorted(metrics_a.keys() & metrics_b.keys())
     if not seeds:
-        raise LabError("no seed was played on both sides")
+        raise LabError("no seed was run on both sides")
     differences = []
     for name in metrics_a[seeds[0]]:
         values_a = np.array([metrics_a[seed][name] for seed in seeds])
         values_b = np.array([metrics_b[seed][name] for seed in seeds])
-        low, high = interval(values_b - values_a)
+        low, high = confidence_interval(values_b - values_a)
         mean_difference = (values_b - values_a).mean()
         differences.append(Difference(name, values_a.mean(), values_b.mean(), mean_difference, low, high, len(seeds)))
     return differences
@@ -89,7 +89,7 @@
     """Compare a policy of one experiment with a policy of another, or of the same.
 
     Raises:
-        LabError: A folder holds no such results, or no seed was run on both sides.
+        LabError: A folder contains no results of the policy, or no seed was run on both sides.
     """
     return compare(_read_policy(dir_a, policy_a), _read_policy(dir_b, policy_b))
 
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -1,4 +1,7 @@
-"""How long a rolling maintenance takes, against how many may be out at once and with a proxy killed; real processes."""
+"""Duration of a rolling maintenance by the limit of servers out of service, with and without a killed proxy.
+
+The proxies run as real processes.
+"""
 
 from __future__ import annotations
 
@@ -22,15 +25,15 @@
 
 @dataclass(frozen=True, slots=True)
 class RunResult:
-    """One run of a maintenance.
+    """Measurements of one maintenance run.
 
     Attributes:
-        duration_s: From the first step to the last.
-        max_machines_out: The most machines out at once.
-        not_worked_on_once: Machines that were worked on twice or never.
-        timed_out: Steps that were late.
-        clients_lost: Clients without an answer.
-        clients_cut_off: Clients whose session a restart has ended.
+        duration_s: Time from the first step to the end of the last.
+        max_machines_out: Largest number of machines out of service at once.
+        not_worked_on_once: Number of machines that were worked on twice or never.
+        timed_out: Number of steps that timed out.
+        clients_lost: Number of clients without an answer.
+        clients_cut_off: Number of clients whose session was ended by a restart.
     """
 
     duration_s: float
@@ -42,11 +45,11 @@
 
 
 def measure(servers: int, bounds: tuple[int, ...], repeats: int, out: Path) -> Iterator[str]:
-    """Lines for people; the table goes to OUT/upkeep.csv, the chart to OUT/upkeep.png."""
+    """Measure runs for each bound; yield lines of text, and write OUT/upkeep.csv and OUT/upkeep.png."""
     from stoatgw.lab.charts import draw_maintenance
 
     if out.exists() and not out.is_dir():
-        raise LabError(f"{out}: is no folder")
+        raise LabError(f"{out}: is not a folder")
     out.mkdir(parents=True, exist_ok=True)
     rows: list[dict[str, Value]] = []
     for max_unavailable_servers in bounds:
@@ -88,8 +91,8 @@
         step_timeout_s=60.0,
     )
 
-    def is_half_begun(snapshot: StoreSnapshot) -> bool:
-        """The leader is known, and half of the steps have begun."""
+    def has_reached_half(snapshot: StoreSnapshot) -> bool:
+        """Report whether a leader is elected and half of the steps have begun."""
         rollout = snapshot.rollout
         return snapshot.fencing_token > 0 and rollout is not None and len(rollout.steps) >= servers // 2
 
@@ -101,7 +104,7 @@
             await run.wait_for(lambda snapshot: snapshot.rollout is not None and bool(snapshot.rollout.steps))
             started_s = asyncio.get_running_loop().time()
             if kills_leader:
-                snapshot = await run.wait_for(is_half_begun)
+                snapshot = await run.wait_for(has_reached_half)
                 await run.kill_proxy(run.leader_index(snapshot))
             rollout = await run.wait_until_finished()
             return RunResult(
--- a/stoatgw/lab/overview.py
+++ b/stoatgw/lab/overview.py
@@ -1,4 +1,4 @@
-"""Many experiments side by side: policies by scenario, and what loopback runs showed against virtual runs."""
+"""Tables of many experiments: policies by scenario, and loopback runs compared with virtual runs."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 import numpy as np
 
-from stoatgw.lab.compare import interval
+from stoatgw.lab.compare import confidence_interval
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.result import MODULE, Result
 from stoatgw.lab.run_task import read_results
 from stoatgw.lab.tables import Value, metrics
 
-FIGURES = ("service", "worst_10s", "worst_class", "goal")
-COMPARED_FIGURES = FIGURES[:3]
-MEAN_FIGURES = ("moves_per_client", "refused_per_try")
+INTERVAL_METRICS = ("service", "worst_10s", "worst_class", "goal")
+COMPARED_METRICS = INTERVAL_METRICS[:3]
+MEAN_METRICS = ("moves_per_client", "refused_per_try")
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,15 +28,15 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Agreement:
-    """One figure of one scenario: the interval that virtual runs predict for a mean, and what loopback runs showed."""
+    """One metric of one scenario: the interval of its mean predicted by virtual runs, and its mean in loopback runs."""
 
     scenario: str
-    figure: str
+    metric: str
     virtual: float
     low: float
     high: float
     loopback: float
-    difference: float  # loopback less virtual, paired by seed
+    difference: float  # loopback minus virtual, paired by seed
     difference_low: float
     difference_high: float
     seeds: int
@@ -47,10 +47,10 @@
         return self.low <= self.loopback <= self.high
 
     def as_row(self) -> dict[str, Value]:
-        """The table's row."""
+        """Return the table row."""
         return {
             "scenario": self.scenario,
-            "figure": self.figure,
+            "figure": self.metric,
             "virtual": round(self.virtual, 4),
             "low": round(self.low, 4),
             "high": round(self.high, 4),
@@ -64,10 +64,10 @@
 
 
 def policies_by_scenario(folders: list[Path]) -> tuple[list[dict[str, Value]], list[ScenarioServices]]:
-    """A row for each scenario and policy, and the service of each run for the chart.
+    """Return a row for each scenario and policy, and the service of each run for the chart.
 
     Raises:
-        LabError: A folder holds no results, or only void ones.
+        LabError: A folder contains no results, or only void ones.
     """
     rows: list[dict[str, Value]] = []
     services: list[ScenarioServices] = []
@@ -85,33 +85,33 @@
 
 
 def compare_drivers(virtual: Path, loopback: Path) -> list[Agreement]:
-    """Compare the module's runs of one scenario under both drivers, on the seeds that both have.
+    """Compare the runs of policy `module` under both drivers, on one scenario and the seeds that both have.
 
     Raises:
-        LabError: A folder holds no results, the scenarios differ, or no seed was run under both.
+        LabError: A folder contains no results, the scenarios differ, or no seed was run under both.
     """
     virtual_results = _module_results_by_seed(virtual)
     loopback_results = _module_results_by_seed(loopback)
     seeds = sorted(virtual_results.keys() & loopback_results.keys())
     if not seeds:
-        raise LabError(f"{virtual}, {loopback}: no seed was played under both drivers")
+        raise LabError(f"{virtual}, {loopback}: no seed was run under both drivers")
     first = virtual_results[seeds[0]]
     if first.scenario_digest != loopback_results[seeds[0]].scenario_digest:
         raise LabError(f"{virtual}, {loopback}: the scenarios differ")
     agreements = []
-    for figure in COMPARED_FIGURES:
-        predicted = np.array([metrics(virtual_results[seed])[figure] for seed in seeds])
-        measured = np.array([metrics(loopback_results[seed])[figure] for seed in seeds])
-        agreements.append(_agreement(first.scenario, figure, predicted, measured))
+    for metric in COMPARED_METRICS:
+        predicted = np.array([metrics(virtual_results[seed])[metric] for seed in seeds])
+        measured = np.array([metrics(loopback_results[seed])[metric] for seed in seeds])
+        agreements.append(_make_agreement(first.scenario, metric, predicted, measured))
     return agreements
 
 
-def _agreement(scenario: str, figure: str, predicted: np.ndarray, measured: np.ndarray) -> Agreement:
-    low, high = interval(predicted)
-    difference_low, difference_high = interval(measured - predicted)
+def _make_agreement(scenario: str, metric: str, predicted: np.ndarray, measured: np.ndarray) -> Agreement:
+    low, high = confidence_interval(predicted)
+    difference_low, difference_high = confidence_interval(measured - predicted)
     return Agreement(
         scenario=scenario,
-        figure=figure,
+        metric=metric,
         virtual=predicted.mean(),
         low=low,
         high=high,
@@ -126,20 +126,20 @@
 def _policy_row(scenario: str, policy: str, results: list[Result]) -> dict[str, Value]:
     run_metrics = [metrics(result) for result in results]
     row: dict[str, Value] = {"scenario": scenario, "policy": policy, "seeds": len(results)}
-    for name in FIGURES:
-        values = np.array([each[name] for each in run_metrics])
-        low, high = interval(values)
+    for name in INTERVAL_METRICS:
+        values = np.array([run[name] for run in run_metrics])
+        low, high = confidence_interval(values)
         row[name] = round(float(values.mean()), 4)
         row[f"{name}_low"] = round(low, 4)
         row[f"{name}_high"] = round(high, 4)
-    for name in MEAN_FIGURES:
-        row[name] = round(float(np.mean([each[name] for each in run_metrics])), 4)
+    for name in MEAN_METRICS:
+        row[name] = round(float(np.mean([run[name] for run in run_metrics])), 4)
     row["rules_broken"] = sum(result.violation_count for result in results)
     return row
 
 
 def _results_by_policy(folder: Path) -> dict[str, list[Result]]:
-    """An experiment's results that count, by policy."""
+    """Read the results of an experiment that are not void, by policy."""
     by_policy: dict[str, list[Result]] = {}
     for result in read_results(folder):
         if not result.void_reason:
--- a/stoatgw/lab/progress.py
+++ b/stoatgw/lab/progress.py
@@ -1,4 +1,4 @@
-"""What the lab prints: a progress bar on a terminal, tables everywhere."""
+"""Terminal output of the lab: tables, and a progress bar if the output is a terminal."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 from stoatgw.lab.result import Result
 from stoatgw.lab.tables import Row, metrics
 
-SUMMARY_FIGURES = ("service", "worst_10s", "worst_class", "goal", "moves_per_client", "refused_per_try", "setup_p99_ms")
+SUMMARY_METRICS = ("service", "worst_10s", "worst_class", "goal", "moves_per_client", "refused_per_try", "setup_p99_ms")
 WIDTH_WITHOUT_TERMINAL = 200
 STATUS_OK = 0
 STATUS_FINDINGS = 1
 
 
 class ExperimentProgress:
-    """A bar over the runs, as a context manager; nothing at all where the output is no terminal."""
+    """Progress bar over the runs of an experiment, as a context manager; hidden if the output is not a terminal."""
 
     def __init__(self, experiment: Experiment) -> None:
         console = Console(stderr=True)
@@ -48,21 +48,21 @@
         self._bar.stop()
 
     def advance(self, _: Result) -> None:
-        """One more run has its result."""
+        """Count one more finished run."""
         self._bar.advance(self._task)
 
 
 def print_summary(experiment: Experiment, results: list[Result]) -> int:
-    """Print each policy's figures; returns the status: 1 if a rule was broken or a run is void."""
+    """Print the metrics of each policy, and return the exit status: 1 if a rule was violated or a run is void."""
     console = _make_console()
     title = f"{experiment.scenario.name}, {experiment.manifest.driver}: means, 95% intervals"
     table = Table(box=box.SIMPLE, title=title)
     table.add_column("policy")
-    for name in (*SUMMARY_FIGURES, "runs"):
+    for name in (*SUMMARY_METRICS, "runs"):
         table.add_column(name, justify="right")
     for policy in experiment.manifest.policies:
         run_metrics = [metrics(result) for result in results if result.policy == policy and not result.void_reason]
-        cells = [_format_cell([each[name] for each in run_metrics]) for name in SUMMARY_FIGURES]
+        cells = [_format_cell([each[name] for each in run_metrics]) for name in SUMMARY_METRICS]
         table.add_row(policy, *cells, str(len(run_metrics)))
     console.print(table)
     status = STATUS_OK
@@ -75,10 +75,10 @@
 
 
 def print_comparison(differences: list[Difference], title: str) -> None:
-    """Print B less A for each figure; a star marks intervals that leave out zero."""
+    """Print B minus A for each metric; a star marks intervals that exclude zero."""
     table = Table(box=box.SIMPLE, title=f"{title}, {differences[0].seeds} seeds")
-    for name in ("figure", "A", "B", "B less A", "95% interval", ""):
-        table.add_column(name, justify="left" if name == "figure" else "right")
+    for name in ("metric", "A", "B", "B minus A", "95% interval", ""):
+        table.add_column(name, justify="left" if name == "metric" else "right")
     for each in differences:
         table.add_row(
             each.name,
@@ -92,7 +92,7 @@
 
 
 def print_rows(rows: Sequence[Row], title: str) -> None:
-    """Print rows as a table; the first one's names are the columns."""
+    """Print rows as a table; the keys of the first row are the columns."""
     table = Table(box=box.SIMPLE, title=title)
     for name, value in rows[0].items():
         table.add_column(name, justify="right" if isinstance(value, int | float) else "left")
@@ -111,11 +111,11 @@
 
 
 def _findings(result: Result) -> list[str]:
-    """Why the run counts for nothing, and what it broke."""
+    """Return the run's findings: why it is void, and its first rule violation."""
     findings = []
     if result.void_reason:
         findings.append(f"void: {result.policy} seed {result.seed}: {result.void_reason}")
     if result.violation_count:
         count = result.violation_count
-        findings.append(f"{count} broken: {result.policy} seed {result.seed}: {result.violations[0]}")
+        findings.append(f"{count} violation(s): {result.policy} seed {result.seed}: {result.violations[0]}")
     return findings
--- a/stoatgw/lab/recovery.py
+++ b/stoatgw/lab/recovery.py
@@ -1,24 +1,24 @@
-"""For how long service stayed down after the faults, and how unevenly load was spread: figures by second."""
+"""Recovery time, overshoot and spread of a run, computed from its values per second."""
 
 from __future__ import annotations
 
 import numpy as np
 
-Faults = list[tuple[float, str]]  # time in seconds and text of each fault's begin and end
+Faults = list[tuple[float, str]]  # time in seconds and text of the begin and end of each fault
 
-RECOVERED_MARGIN = 0.02  # service has recovered once it is so near to what it was
-BASELINE_S = 10  # the time before the first fault that service and load are compared with
+RECOVERED_MARGIN = 0.02  # service counts as recovered at most this much below the baseline
+BASELINE_S = 10  # time before the first fault, with which service and load are compared
 SMOOTHING_S = 3
-STABLE_S = 5  # so long it must stay recovered
-SPREAD_S = 10  # the time at the end over which the spread is averaged
+STABLE_S = 5  # service must stay recovered this long
+SPREAD_S = 10  # time at the end of the run over which the spread is averaged
 MEAN = "mean"
-SERVER_PREFIX = "s-"  # names of servers; quantiles of a large fleet have others
+SERVER_PREFIX = "s-"  # distinguishes servers from the quantiles of a large fleet
 
 
 def recovery_s(demanded_weight: np.ndarray, earned_weight: np.ndarray, faults: Faults) -> float:
-    """Seconds from the last fault's end until service is, and stays, within 2% of what it was before the first.
+    """Return the seconds from the end of the last fault until service stays within 2% of its mean before the first.
 
-    0 where there was no fault or service never fell; the rest of the run where it did not recover.
+    The result is 0 if there was no fault or service never decreased, and the rest of the run if it did not recover.
     """
     if not faults:
         return 0.0
@@ -28,7 +28,7 @@
     baseline = service[max(0, begin - BASELINE_S) : max(1, begin)].mean()
     recovered = smoothed >= baseline - RECOVERED_MARGIN
     if len(recovered) > 1:
-        recovered[-1] = recovered[-2]  # the smoothed end lacks a neighbour
+        recovered[-1] = recovered[-2]  # the moving average has one value too few at the end
     for second in range(min(end, len(recovered) - 1), len(recovered)):
         if recovered[second : second + STABLE_S].all():
             return float(second - end)
@@ -36,7 +36,7 @@
 
 
 def overshoot(utilization: dict[str, list[float]], faults: Faults) -> float:
-    """How far the most loaded server after the faults' end was over the mean, over the same before them."""
+    """Return how much further the most loaded server exceeded the mean after the faults than before them."""
     if not faults:
         return 0.0
     begin, end = _fault_span(faults)
@@ -49,7 +49,7 @@
 
 
 def spread(utilization: dict[str, list[float]]) -> float:
-    """Standard deviation of load over the serving servers in the last ten seconds; 0 where only quantiles are kept."""
+    """Return the standard deviation of load among serving servers, last ten seconds; 0 if only quantiles are stored."""
     rows = [samples for name, samples in utilization.items() if name.startswith(SERVER_PREFIX)]
     if not rows:
         return 0.0
@@ -63,14 +63,14 @@
 
 
 def _fault_span(faults: Faults) -> tuple[int, int]:
-    """The seconds of the first fault's begin and the last one's end."""
+    """Return the seconds at which the first fault begins and the last one ends."""
     begin_s = min(time_s for time_s, text in faults if text.endswith("begins"))
     end_s = max(time_s for time_s, _ in faults)
     return int(begin_s), int(end_s)
 
 
 def _max_over_mean(utilization: dict[str, list[float]]) -> np.ndarray:
-    """By second, how far the most loaded server was over the mean."""
+    """Return, for each second, how far the most loaded server exceeded the mean."""
     mean = np.array(utilization.get(MEAN, []))
     rows = [samples for name, samples in utilization.items() if name != MEAN]
     if not rows or not len(mean):
--- a/stoatgw/lab/report.py
+++ b/stoatgw/lab/report.py
@@ -1,4 +1,4 @@
-"""An experiment as one self-contained HTML page, with its charts beside it as PNG."""
+"""Report of an experiment as one self-contained HTML page, with its charts also as PNG files."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from stoatgw.lab import charts
 from stoatgw.lab.compare import compare, format_mean
 from stoatgw.lab.manifest import read_manifest
-from stoatgw.lab.overview import FIGURES
+from stoatgw.lab.overview import INTERVAL_METRICS
 from stoatgw.lab.result import MODULE, Result
 from stoatgw.lab.run_task import read_results
 from stoatgw.lab.tables import metrics
@@ -29,32 +29,32 @@
 program {{ manifest.commit }}, scenario digest <code>{{ manifest.scenario_digest }}</code>
 {%- if manifest.changes %}, changed: {% for change in manifest.changes -%}
 <code>{{ change }}</code> {% endfor %}{% endif %}.</p>
-<table><tr><th>figure (mean, 95% interval)</th>{% for policy in policies %}<th>{{ policy }}</th>{% endfor %}</tr>
+<table><tr><th>metric (mean, 95% interval)</th>{% for policy in policies %}<th>{{ policy }}</th>{% endfor %}</tr>
 {% for name, cells in rows %}<tr><td>{{ name }}</td>{% for cell in cells %}<td>{{ cell }}</td>{% endfor %}</tr>
 {% endfor %}</table>
-{% if differences %}<h2>Module against floor and top</h2><table>
+{% if differences %}<h2>Module compared with floor and top</h2><table>
 <tr><th>paired by seed</th><th>difference</th><th>interval</th></tr>
 {% for cells in differences %}<tr>{% for cell in cells -%}
 <td>{{ cell }}</td>{% endfor %}</tr>{% endfor %}</table>{% endif %}
-<h2>What broke</h2>
+<h2>Rule violations</h2>
 {% if violations or void %}<ul>{% for run in void %}<li>void: {{ run }}</li>{% endfor %}
 {% for violation in violations %}<li>{{ violation }}</li>{% endfor %}</ul>{% else -%}
-<p>No rule, in {{ runs }} runs.</p>{% endif %}
+<p>No violations in {{ runs }} runs.</p>{% endif %}
 {% for title, image in images %}<h2>{{ title }}</h2><img alt="{{ title }}" src="data:image/png;base64,{{ image }}">
 {% endfor %}</body></html>
 """
 
 
 def write_report(folder: Path) -> Path:
-    """Write FOLDER/report.html and FOLDER/charts/*.png; returns the page's path.
+    """Write FOLDER/report.html and FOLDER/charts/*.png, and return the path of the page.
 
     Raises:
-        LabError: The folder holds no experiment, or no results.
+        LabError: The folder contains no experiment, or no results.
     """
     manifest = read_manifest(folder)
     results = read_results(folder)
-    counted = [result for result in results if not result.void_reason]
-    shown = counted if counted else results
+    valid = [result for result in results if not result.void_reason]
+    shown = valid if valid else results
     policies = list(dict.fromkeys(result.policy for result in shown))
     page = (
         Environment(autoescape=True)
@@ -62,9 +62,9 @@
         .render(
             manifest=manifest,
             policies=policies,
-            rows=_figure_rows(shown, policies),
+            rows=_metric_rows(shown, policies),
             runs=len(results),
-            about=_read_about(folder),
+            about=_read_description(folder),
             differences=_difference_rows(shown, policies),
             void=[f"{each.policy} seed {each.seed}: {each.void_reason}" for each in results if each.void_reason],
             violations=[f"{each.policy} seed {each.seed}: {text}" for each in results for text in each.violations],
@@ -77,15 +77,15 @@
 
 
 def _draw_charts(results: list[Result], policy: str, folder: Path) -> list[tuple[str, Path]]:
-    """Draw the charts, those of a single policy for the given one; returns their titles and files."""
+    """Draw the charts and return their titles and files; charts of a single policy show `policy`."""
     charts_folder = folder / "charts"
     charts_folder.mkdir(exist_ok=True)
     median = _median_run([result for result in results if result.policy == policy])
     return [
         ("Service over time", charts.draw_service(results, charts_folder / "service.png")),
-        (f"Load per server, seed {median.seed}", charts.draw_loads(median, charts_folder / "loads.png")),
+        (f"Utilization per server, seed {median.seed}", charts.draw_loads(median, charts_folder / "loads.png")),
         ("Set-up times", charts.draw_setups(results, charts_folder / "setups.png")),
-        ("Answers and moves", charts.draw_counts(results, policy, charts_folder / "counts.png")),
+        ("Answers and migrations", charts.draw_counts(results, policy, charts_folder / "counts.png")),
     ]
 
 
@@ -93,8 +93,8 @@
     return base64.b64encode(path.read_bytes()).decode()
 
 
-def _read_about(folder: Path) -> str:
-    """The scenario's own description, or nothing."""
+def _read_description(folder: Path) -> str:
+    """Return the description in the scenario's file, or an empty text."""
     file = folder / "scenario.toml"
     if not file.exists():
         return ""
@@ -105,12 +105,12 @@
 
 
 def _median_run(results: list[Result]) -> Result:
-    """The run whose service is the median: neither the best nor the worst is picked by hand."""
+    """Return the run with the median service, so that the chart shows neither the best nor the worst run."""
     return sorted(results, key=lambda result: result.service["whole"])[len(results) // 2]
 
 
-def _figure_rows(results: list[Result], policies: list[str]) -> list[tuple[str, list[str]]]:
-    """By figure, the mean of each policy with its interval."""
+def _metric_rows(results: list[Result], policies: list[str]) -> list[tuple[str, list[str]]]:
+    """Return, for each metric, the mean of each policy with its interval."""
     by_policy = {policy: [metrics(result) for result in results if result.policy == policy] for policy in policies}
     return [
         (name, [format_mean(np.array([each[name] for each in by_policy[policy]])) for policy in policies])
@@ -119,7 +119,7 @@
 
 
 def _difference_rows(results: list[Result], policies: list[str]) -> list[tuple[str, str, str]]:
-    """The module less each reference policy, paired by seed: figure, difference and interval."""
+    """Return the module minus each reference policy, paired by seed: metric, difference and interval."""
     if MODULE not in policies:
         return []
     module_results = [result for result in results if result.policy == MODULE]
@@ -129,7 +129,7 @@
             continue
         reference_results = [result for result in results if result.policy == policy]
         for each in compare(reference_results, module_results):
-            if each.name in FIGURES:
-                name = f"{each.name}: module less {policy}"
+            if each.name in INTERVAL_METRICS:
+                name = f"{each.name}: module minus {policy}"
                 rows.append((name, f"{each.difference:+.3f}", f"[{each.low:+.3f}, {each.high:+.3f}]"))
     return rows
--- a/stoatgw/lab/scorecard.py
+++ b/stoatgw/lab/scorecard.py
@@ -1,6 +1,7 @@
-"""How a run recovered: what migrations were good for, and where priority weight was lost.
+"""Recovery metrics of a run: useless and repeated migrations, and priority weight lost by cause.
 
-Reads the event log as the checker does; of the world it asks only how loaded a server is at that moment.
+They are computed from the event log, as the checker's results are. The only input from the world is the current
+utilization of a server.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 from stoatgw.emulator.world.population import Population
 from stoatgw.lab.recovery import overshoot, recovery_s, spread
 
-MIGRATION_OUTCOME_US = 30_000_000  # a migration is judged by what came of it within so long
+MIGRATION_OUTCOME_US = 30_000_000  # only what follows a migration within this time counts as its outcome
 
 
 class LossCause(StrEnum):
-    """Why a client that wants a session has none; the values are in the tables' column names."""
+    """Why a client that wants a session has none; the values are part of the tables' column names."""
 
     SETTING_UP = "setting_up"
     REJECTED = "refused"
@@ -31,19 +32,19 @@
 
 @dataclass(slots=True)
 class _ClientState:
-    """One client's session, or why it has none and since when."""
+    """The session of one client, or why and since when it has none."""
 
     since_us: int
     cause: LossCause = LossCause.SETTING_UP
     is_established: bool = False
-    has_finished: bool = False  # by its own wish: it wants no session any more
+    has_finished: bool = False  # ended its session by BYE and wants no other
     server: str = ""
-    migrated_from: str = ""  # until it is established again
+    migrated_from: str = ""  # empty once the session is established again
     migrated_at_us: int = -MIGRATION_OUTCOME_US
 
 
 class Scorecard:
-    """Feed it every event; then `compute_metrics`.
+    """Account of sessions and lost weight; it is fed every event of a run before `compute_metrics`.
 
     Attributes:
         lost_weight: Priority weight lost, in weighted seconds, by cause.
@@ -56,13 +57,13 @@
         length_us: int,
         utilization: Callable[[str], float],
     ) -> None:
-        """Begin before the run.
+        """Create the scorecard before the run starts.
 
         Args:
-            population: The clients, and when each wants a session.
+            population: The clients, with the times between which each wants a session.
             weights: Priority weights by request class.
-            length_us: The run's length.
-            utilization: A server's load over capacity now, 0 where it does not serve.
+            length_us: Duration of the run.
+            utilization: Returns a server's current load divided by capacity; 0 while it does not serve.
         """
         self.lost_weight = dict.fromkeys(LossCause, 0.0)
         self._population = population
@@ -76,7 +77,7 @@
         self._client_by_request: dict[str, int] = {}
 
     def feed(self, event: Event) -> None:
-        """Account one event; events come in the order of their time."""
+        """Account one event; events must be fed in the order of their time."""
         match event.kind:
             case EventKind.REQUEST_RECEIVED:
                 self._client_by_request[event.request_id] = int(event.detail)
@@ -103,13 +104,13 @@
         utilization: dict[str, list[float]],
         faults: list[tuple[float, str]],
     ) -> dict[str, float]:
-        """All figures of a run that is over; weights are by class and second."""
+        """Return all metrics of a finished run; the weights are by class and second."""
         for client in range(len(self._population)):
             self._account_loss(client, self._client_state(client), self._length_us)
         demanded = max(1e-9, float(demanded_weight.sum()))
         lost_without_session = sum(self.lost_weight.values())
         shares = {f"lost_{cause.value}": weight / demanded for cause, weight in self.lost_weight.items()}
-        # Sessions that were established, but whose messages came late: their servers were overloaded or paused.
+        # Weight of established sessions whose messages were late because their servers were overloaded or paused.
         lost = float(demanded_weight.sum() - earned_weight.sum())
         shares["lost_late"] = max(0.0, lost - lost_without_session) / demanded
         return shares | {
@@ -132,7 +133,7 @@
         return self._client_by_request.get(event.request_id)
 
     def _account_loss(self, client: int, state: _ClientState, until_us: int) -> None:
-        """Account what the client lost since its state changed, as far as it wanted a session."""
+        """Account the weight that the client lost since its state changed, while it wanted a session."""
         end_us = min(until_us, int(self._population.departure_us[client]), self._length_us)
         if not state.is_established and not state.has_finished and end_us > state.since_us:
             weight = self._weights[int(self._population.request_class[client])]
@@ -152,7 +153,7 @@
         client = self._client_by_request[event.request_id]
         state = self._client_state(client)
         self._account_loss(client, state, event.time_us)
-        if event.time_us <= self._length_us and self._was_migrated_lately(state, event.time_us):
+        if event.time_us <= self._length_us and self._was_migrated_recently(state, event.time_us):
             is_same_server = state.migrated_from == event.server
             source_utilization = self._utilization(state.migrated_from)
             if is_same_server or self._utilization(event.server) >= source_utilization > 0.0:
@@ -167,7 +168,7 @@
             return
         state = self._client_state(client)
         self._migrations += 1
-        if self._was_migrated_lately(state, event.time_us):
+        if self._was_migrated_recently(state, event.time_us):
             self._repeated_migrations += 1
         self._lose_session(state, event.time_us, LossCause.MIGRATED)
         state.migrated_at_us = event.time_us
@@ -183,7 +184,7 @@
         self._lose_session(state, event.time_us, LossCause.MIGRATED if event.detail == "MOVE" else LossCause.BROKEN)
 
     @staticmethod
-    def _was_migrated_lately(state: _ClientState, time_us: int) -> bool:
+    def _was_migrated_recently(state: _ClientState, time_us: int) -> bool:
         return time_us - state.migrated_at_us < MIGRATION_OUTCOME_US
 
     @staticmethod
--- a/stoatgw/lab/shared_health_checks.py
+++ b/stoatgw/lab/shared_health_checks.py
@@ -1,4 +1,4 @@
-"""Shared health checks in virtual time: the checkers themselves, over the emulated engine's store."""
+"""Simulation of shared health checks in virtual time: the real checkers, on the store of the emulated engine."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 from stoatgw.telemetry.log import EventLog
 
 TICK_US = int(TICK_INTERVAL_S * 1e6)
-CHECKS_PER_SERVER_S = 4.0  # of one proxy by itself: the default interval is 250 ms
+CHECKS_PER_SERVER_S = 4.0  # by one proxy without sharing: the default interval is 250 ms
 WARM_UP_S = 5.0
 MEASURED_S = 4.0
 AFTER_KILL_S = 8.0
 
 
-class SilentLog(EventLog):
-    """Discards all events."""
+class DiscardingLog(EventLog):
+    """Event log that discards all events."""
 
     def event(self, event: str, **fields: Any) -> None:
         """Discard an event."""
 
 
 class ProxyFault(StrEnum):
-    """How a proxy is lost, as the table words it."""
+    """The way in which a proxy fails; the values are stored in the table."""
 
     KILLED = "killed"
     FROZEN = "frozen"
@@ -53,7 +53,7 @@
 
 
 class SimulatedProxy:
-    """One checker, with its proxy's controller, its way to the engine and the session servers in one."""
+    """One checker with substitutes for its proxy's controller, the engine client and the session servers."""
 
     def __init__(self, fleet: SimulatedFleet, index: int) -> None:
         self._fleet = fleet
@@ -61,7 +61,7 @@
         self.is_alive = True
         self.is_frozen = False
         self.is_connected = True
-        self.servers_reported: set[str] = set()  # of which the decisions have received any result
+        self.servers_reported: set[str] = set()  # servers of which the controller has received a result
         self.peer_result_count = 0
         self._is_own_result = False
         self.checker = SharedHealthChecker(
@@ -69,20 +69,20 @@
             store=self,
             hooks=ProxyHooks(queue=self, start_check=self._check, list_servers=fleet.list_servers),
             now_us=lambda: fleet.now_us,
-            log=SilentLog("lab"),
+            log=DiscardingLog("lab"),
             jitter=Random(index),
         )
-        # They poll at times of their own, as processes that start one after the other do.
+        # Each proxy polls with its own phase, as processes that were started at different times do.
         self.next_poll_us = Random(index).randrange(fleet.membership.poll_interval_ms * 1000)
 
     async def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
-        """The checker's call to the engine."""
+        """Send a call of the checker to the engine."""
         if not self.is_connected:
             return CallFailure("cut off", may_have_run=False)
         return self._fleet.call(path, body)
 
     def post(self, message: Message) -> None:
-        """The checker's message to the controller."""
+        """Receive a message of the checker to the controller."""
         if isinstance(message, HealthCheckCompleted):
             self.servers_reported.add(message.server)
             if not self._is_own_result:
@@ -95,23 +95,23 @@
         self._is_own_result = False
 
     def poll(self) -> None:
-        """One complete reconcile pass, in no time."""
+        """Run one reconcile pass to its end without advancing virtual time."""
         reconciling = self.checker.reconcile()
         try:
             reconciling.send(None)
         except StopIteration:
             return
-        raise RuntimeError("a reconcile pass waited for something in virtual time")
+        raise RuntimeError("a reconcile pass waited; virtual time requires that it completes at once")
 
 
 class SimulatedFleet:
     """Proxies, session servers and one engine in virtual time.
 
     Attributes:
-        now_us: The virtual time.
+        now_us: Current virtual time.
         checks: Time and server of each health check since the last `reset_measurement`.
-        calls: Calls to the engine since then.
-        transferred_bytes: Their bytes, both ways.
+        calls: Number of calls to the engine since then.
+        transferred_bytes: Bytes of these calls, requests and responses.
     """
 
     def __init__(
@@ -138,11 +138,11 @@
         self.proxies = [SimulatedProxy(self, index) for index in range(proxies)]
 
     def list_servers(self) -> list[str]:
-        """The session servers that discovery lists."""
+        """Return the session servers in the endpoint list."""
         return self._servers
 
     def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
-        """Carry a call out at once."""
+        """Execute a call on the engine at once."""
         self.calls += 1
         try:
             response = answer(self.store, path, body, self.now_us)
@@ -152,7 +152,7 @@
         return response
 
     def run(self, duration_s: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time and run the proxies."""
         for _ in range(round(duration_s / TICK_INTERVAL_S)):
             self.now_us += TICK_US
             for proxy in self.proxies:
@@ -164,7 +164,7 @@
                 proxy.checker.start_due_checks()
 
     def reset_measurement(self) -> None:
-        """Measure from now on."""
+        """Start a new measurement."""
         self.checks = []
         self._measured_since_us = self.now_us
         self.calls = 0
@@ -172,54 +172,57 @@
 
     @property
     def measured_s(self) -> float:
-        """How long has been measured."""
+        """Duration of the current measurement."""
         return (self.now_us - self._measured_since_us) / 1e6
 
     def check_rates(self) -> dict[str, float]:
-        """Health checks a second of each server."""
+        """Return the health checks per second of each server."""
         counts = Counter(server for _, server in self.checks)
         return {name: counts[name] / self.measured_s for name in self._servers}
 
     def check_gaps_s(self) -> dict[str, float]:
-        """The longest time without a health check, of each server."""
+        """Return the longest time without a health check for each server."""
         times_us: dict[str, list[int]] = {name: [self._measured_since_us] for name in self._servers}
         for checked_us, server in self.checks:
             times_us[server].append(checked_us)
         return {name: max(np.diff([*times, self.now_us])) / 1e6 for name, times in times_us.items()}
 
     def longest_gap_s(self) -> float:
-        """The longest time without a health check, of any server."""
+        """Return the longest time without a health check for any server."""
         return float(max(self.check_gaps_s().values()))
 
     def inject_fault(self, index: int, fault: ProxyFault) -> None:
-        """Kill, freeze or cut off a proxy."""
+        """Kill, freeze or disconnect a proxy."""
         proxy = self.proxies[index]
         proxy.is_alive = fault is not ProxyFault.KILLED
         proxy.is_frozen = fault is ProxyFault.FROZEN
         proxy.is_connected = fault is not ProxyFault.CUT_OFF
 
     def recover(self, index: int) -> None:
-        """End a proxy's fault; a killed one stays dead."""
+        """End a proxy's fault; a killed proxy is not restarted."""
         self.proxies[index].is_frozen = False
         self.proxies[index].is_connected = True
 
     def poll(self, index: int) -> None:
-        """One reconcile pass of a proxy, whenever it would have been due."""
+        """Run one reconcile pass of a proxy, independent of when it is due."""
         self.proxies[index].poll()
 
     def publish_malformed_report(self, index: int) -> None:
-        """Publish in a proxy's name what one of another version may publish."""
+        """Publish an undecodable report under a proxy's key, as a proxy of another version may do."""
         key = f"{self.membership.scope}/sharing/reports/{self.proxies[index].name}"
         request = etcd_api.transaction([], [etcd_api.put_operation(key, b"{]")])
         answer(self.store, etcd_api.TRANSACTION_PATH, request, self.now_us)
 
 
 def measure(sizes: tuple[int, ...], servers: int, out: Path) -> Iterator[str]:
-    """Lines for people; tables go to OUT/sharing.csv and OUT/sharing-lost.csv, the chart to OUT/sharing.png."""
+    """Measure each number of proxies and two faults; yield lines of text.
+
+    The tables are written to OUT/sharing.csv and OUT/sharing-lost.csv, the chart to OUT/sharing.png.
+    """
     from stoatgw.lab.charts import draw_shared_health_checks
 
     if out.exists() and not out.is_dir():
-        raise LabError(f"{out}: is no folder")
+        raise LabError(f"{out}: is not a folder")
     out.mkdir(parents=True, exist_ok=True)
     rows: list[dict[str, Value]] = []
     for proxies in sizes:
@@ -232,7 +235,7 @@
 
 
 def _measure_size(proxies: int, servers: int) -> dict[str, Value]:
-    """Rates and engine load of so many proxies, and how long servers go unchecked when one is killed."""
+    """Measure check rates and engine load of `proxies` proxies, and how long servers are unchecked if one is killed."""
     fleet = SimulatedFleet(proxies, servers)
     fleet.run(WARM_UP_S)
     fleet.reset_measurement()
@@ -261,7 +264,7 @@
 
 
 def _measure_fault(fault: ProxyFault) -> Iterator[dict[str, Value]]:
-    """Health checks in each second while one of three proxies is lost from second 4 to 10."""
+    """Yield the health checks of each second, with one of three proxies failing from second 4 to 10."""
     fleet = SimulatedFleet(3, 30)
     fleet.run(6.0)
     fleet.reset_measurement()
--- a/stoatgw/lab/speed.py
+++ b/stoatgw/lab/speed.py
@@ -1,4 +1,4 @@
-"""How fast virtual time runs, and how its cost grows with the fleet, as a table and a chart."""
+"""Speed of the virtual driver, and its cost by the size of the fleet, as a table and a chart."""
 
 from __future__ import annotations
 
@@ -15,34 +15,36 @@
 from stoatgw.emulator.world.scenario import Scenario
 from stoatgw.emulator.world.scenario_faults import Shrink
 from stoatgw.emulator.world.scenario_file import load_scenario
-from stoatgw.lab.charts import draw_axes, draw_speed
+from stoatgw.lab.charts import draw_cost_by_axis, draw_speed
 from stoatgw.lab.scenarios import find_scenario
 from stoatgw.lab.tables import Value, format_row, make_output_folder, write_csv
 
-LENGTHS_S = {8: 60.0, 100: 30.0}  # by servers
-LENGTH_OF_LARGE_S = 10.0  # of every other fleet
+LENGTH_BY_SERVERS_S = {8: 60.0, 100: 30.0}  # by number of servers
+DEFAULT_LENGTH_S = 10.0  # for every other number of servers
 SERVERS_PER_PROXY = 20
 MIN_PROXIES = 3
 REPEATS = 3
-ONE_RUN_FROM_SERVERS = 500  # fleets of so many servers are run once
+MIN_SERVERS_FOR_SINGLE_RUN = 500  # fleets of at least this size are run once
 SMALL_FLEET_PER_CORE = (20.0, 40.0)
-SMALL_FLEET_SERVERS = 100  # under so many, a core holds as many sessions as in the other scenarios
+SMALL_FLEET_SERVERS = 100  # smaller fleets have as many sessions per core as the other scenarios: SMALL_FLEET_PER_CORE
 AXES = {"servers": (25.0, 100.0, 400.0), "proxies": (2.0, 10.0, 50.0), "load": (0.1, 0.2, 0.4)}
 AXES_SERVERS = 100
 
 
 def measure(servers: tuple[int, ...], out: Path) -> Iterator[str]:
-    """Measure fleets of some sizes, and along each axis the cost of one size alone.
+    """Measure the speed for each fleet size, and the cost along each axis with the other sizes constant.
 
-    Yields lines for people; tables go to OUT/speed.csv and OUT/axes.csv, charts to OUT/speed.png and OUT/axes.png.
+    Yields lines of text; writes tables to OUT/speed.csv and OUT/axes.csv, charts to OUT/speed.png and OUT/axes.png.
 
     Raises:
-        LabError: `out` is no folder.
+        LabError: `out` exists and is not a folder.
     """
     make_output_folder(out)
     speed_rows: list[dict[str, Value]] = []
     for count in servers:
-        speed_rows.append(_measure_scenario(scale_scenario(count), 1 if count >= ONE_RUN_FROM_SERVERS else REPEATS))
+        speed_rows.append(
+            _measure_scenario(make_scaled_scenario(count), 1 if count >= MIN_SERVERS_FOR_SINGLE_RUN else REPEATS)
+        )
         yield format_row(speed_rows[-1])
     write_csv(out / "speed.csv", speed_rows)
     yield str(draw_speed(speed_rows, out / "speed.png"))
@@ -50,16 +52,16 @@
     for axis, values in AXES.items():
         for value in values:
             row: dict[str, Value] = {"axis": axis, "value": value}
-            axis_rows.append(row | _measure_scenario(_scale_axis(axis, value), REPEATS))
+            axis_rows.append(row | _measure_scenario(_make_axis_scenario(axis, value), REPEATS))
             yield format_row(axis_rows[-1])
     write_csv(out / "axes.csv", axis_rows)
-    yield str(draw_axes(axis_rows, out / "axes.png"))
+    yield str(draw_cost_by_axis(axis_rows, out / "axes.png"))
 
 
-def scale_scenario(servers: int) -> Scenario:
-    """A calm day with a drain in it, of so many servers, one proxy for twenty of them (three at least)."""
+def make_scaled_scenario(servers: int) -> Scenario:
+    """Create a steady scenario with one drain, of `servers` servers and one proxy for each 20 of them (at least 3)."""
     base = load_scenario(find_scenario("large"))
-    length_s = LENGTHS_S.get(servers, LENGTH_OF_LARGE_S)
+    length_s = LENGTH_BY_SERVERS_S.get(servers, DEFAULT_LENGTH_S)
     per_core = base.fleet.per_core if servers >= SMALL_FLEET_SERVERS else SMALL_FLEET_PER_CORE
     return replace(
         base,
@@ -71,11 +73,11 @@
     )
 
 
-def _scale_axis(axis: str, value: float) -> Scenario:
-    """The day of 100 servers, shorter, with one of its sizes changed and the others kept."""
-    base = replace(scale_scenario(AXES_SERVERS), length_s=LENGTH_OF_LARGE_S, faults=())
+def _make_axis_scenario(axis: str, value: float) -> Scenario:
+    """Create a shorter scenario of 100 servers without the drain, with one of its sizes changed to `value`."""
+    base = replace(make_scaled_scenario(AXES_SERVERS), length_s=DEFAULT_LENGTH_S, faults=())
     if axis == "servers":
-        # As many sessions as before, on fewer or more servers.
+        # The number of sessions stays the same.
         low, high = (bound * AXES_SERVERS / value for bound in base.fleet.per_core)
         return replace(base, fleet=replace(base.fleet, servers=int(value), per_core=(low, high)))
     if axis == "proxies":
@@ -84,7 +86,7 @@
 
 
 def _measure_scenario(scenario: Scenario, repeats: int) -> dict[str, Value]:
-    """Run a scenario on so many seeds; the medians of the wall times."""
+    """Run a scenario on `repeats` seeds; return its table row, with medians of the wall times."""
     run_times_s = []
     build_times_s = []
     for seed in range(repeats):
--- a/stoatgw/lab/tables.py
+++ b/stoatgw/lab/tables.py
@@ -1,4 +1,4 @@
-"""Results as tables: one row a run, and one row a second; CSV for people, Parquet for tools."""
+"""Results as tables, with one row per run and one row per second, in CSV for people and Parquet for tools."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def metrics(result: Result) -> dict[str, float]:
-    """What two runs are compared by. Shares from 0 to 1, counts per client or request, times in ms."""
+    """Return the metrics by which runs are compared: shares from 0 to 1, counts per client or request, times in ms."""
     totals = result.totals
     setup_times = result.setup_times()
     clients = max(1, result.initial_sessions + totals["first_tries"])
@@ -41,24 +41,24 @@
 
 
 def run_row(result: Result) -> dict[str, Value]:
-    """The row of one run."""
-    head: dict[str, Value] = {
+    """Return the table row of one run."""
+    identity: dict[str, Value] = {
         "scenario": result.scenario,
         "driver": result.driver,
         "policy": result.policy,
         "seed": result.seed,
         "void": result.void_reason,
     }
-    figures = {name: round(value, 6) for name, value in metrics(result).items()}
+    run_metrics = {name: round(value, 6) for name, value in metrics(result).items()}
     classes = {
         f"class_{name}": round(result.service[f"class_{index}"], 6) for index, name in enumerate(result.class_names)
     }
     events: dict[str, Value] = {"events": result.event_count, "events_digest": result.events_digest}
-    return head | figures | classes | dict(result.totals) | events
+    return identity | run_metrics | classes | dict(result.totals) | events
 
 
 def second_rows(result: Result) -> list[dict[str, Value]]:
-    """The rows of one run's seconds."""
+    """Return the table rows of one run, one for each second."""
     mean_utilization = result.utilization.get("mean", [])
     rows = []
     for second in range(len(result.demanded_weight[0])):
@@ -75,12 +75,12 @@
 
 
 def write_csv(path: Path, rows: Sequence[Row]) -> None:
-    """Write rows as CSV; the first one's names are the columns."""
+    """Write rows as CSV; the keys of the first row are the columns."""
     pa_csv.write_csv(pa.Table.from_pylist([dict(row) for row in rows]), path)
 
 
 def write_tables(folder: Path, results: list[Result]) -> None:
-    """Write an experiment's tables, each as CSV and Parquet."""
+    """Write the tables of an experiment, each as CSV and Parquet."""
     tables = {
         "runs": [run_row(result) for result in results],
         "seconds": [row for result in results for row in second_rows(result)],
@@ -94,13 +94,13 @@
     """Create a folder for tables and charts.
 
     Raises:
-        LabError: There is a file of that name.
+        LabError: The path exists and is not a folder.
     """
     if folder.exists() and not folder.is_dir():
-        raise LabError(f"{folder}: is no folder")
+        raise LabError(f"{folder}: is not a folder")
     folder.mkdir(parents=True, exist_ok=True)
 
 
 def format_row(row: Row) -> str:
-    """A row as a line for people."""
+    """Format a row as a line of text."""
     return ", ".join(f"{name} {value}" for name, value in row.items())
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 from stoatgw.emulator.world.population import draw_population
 from stoatgw.emulator.world.scenario_file import load_scenario
 from stoatgw.emulator.world.streams import RandomStreams
-from stoatgw.lab.compare import compare, interval
+from stoatgw.lab.compare import compare, confidence_interval
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.experiment import Experiment, ExperimentRequest
 from stoatgw.lab.manifest import Manifest
@@ -95,12 +95,12 @@
 
 def test_intervals_contain_the_mean_and_narrow_with_more_seeds() -> None:
     values = np.random.default_rng(3).normal(0.5, 0.1, 200)
-    low, high = interval(values)
-    low_of_few, high_of_few = interval(values[:10])
+    low, high = confidence_interval(values)
+    low_of_few, high_of_few = confidence_interval(values[:10])
     assert low < values.mean() < high
     assert high - low < high_of_few - low_of_few
-    assert interval(values) == (low, high)
-    assert interval(np.array([1.0])) == (float("-inf"), float("inf"))
+    assert confidence_interval(values) == (low, high)
+    assert confidence_interval(np.array([1.0])) == (float("-inf"), float("inf"))
 
 
 def test_runs_are_compared_by_seed_without_void_ones(tmp_path: Path) -> None:
@@ -130,7 +130,7 @@
     page = (out / "report.html").read_text()
     assert page.count("data:image/png;base64,") == 4
     assert "http" not in page
-    assert "No rule, in 6 runs" in page
+    assert "No violations in 6 runs" in page
     assert len(list((out / "charts").glob("*.png"))) == 4
     with (out / "runs.csv").open() as table:
         rows = list(csv.DictReader(table))
