--- a/stoatgw/lab/bench/__init__.py
+++ b/stoatgw/lab/bench/__init__.py
@@ -1,5 +1,5 @@
-"""The real proxy against a bare uvloop relay on one core: set-ups and lines a second, memory and descriptors.
+"""Bench of the real proxy and a bare uvloop relay on one core: set-ups and lines per second, memory and descriptors.
 
-Promises that both serve the same toy servers and the same load generators, in turns, so that the machine's drift
-falls on both. The relay does no more than connect and copy bytes, on the same socket calls as the proxy.
+Guarantees that both use the same toy servers and the same load generators, in alternating rounds, so that drift of the
+machine's speed affects both. The relay only connects and copies bytes, by the same socket calls as the proxy.
 """
--- a/stoatgw/lab/bench/helpers.py
+++ b/stoatgw/lab/bench/helpers.py
@@ -1,4 +1,4 @@
-"""The toy servers and the bare relay, each the only work of a process of its own."""
+"""The toy servers and the bare relay, each run by its own process."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
     set_up_helper_process,
 )
 
-READY = "up"  # what a helper sends to the bench once it serves
+READY = "up"  # sent to the bench by a process once it is ready
 COPY_BUFFER_BYTES = 8192
 
 Helper = Callable[[Connection], Coroutine[Any, Any, None]]
 
 
 def run_helper(helper: Helper, core: int, pipe: Connection) -> None:
-    """A helper process's main function."""
+    """Run a helper; the main function of a helper process."""
     set_up_helper_process(core)
     uvloop.run(helper(pipe))
 
 
 class ToyServer(asyncio.Protocol):
-    """A session server that answers UP to OPEN, health checks as empty, and echoes every other line."""
+    """A session server that answers OPEN by UP and health checks by a low load, and echoes every other line."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for the answers."""
+        """Store the transport for the answers."""
         self._transport: Any = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer what came; a line is taken to come in one piece, as the load generators send it."""
+        """Answer a line; it is expected in a single read, as the load generators send it in a single write."""
         if data.startswith(b"OPEN "):
             self._transport.write(b"UP toy\r\n")
         elif data.startswith(b"STATS"):
@@ -61,7 +61,7 @@
 
 
 async def serve_relay(pipe: Connection) -> None:
-    """Run the relay, which connects its clients to the servers by round robin."""
+    """Run the relay, which connects its clients to the servers round robin."""
     loop = asyncio.get_running_loop()
     listening = make_listening_socket(RELAY_HOST)
     pipe.send(READY)
@@ -76,27 +76,29 @@
 
 
 async def _relay(client: socket.socket, host: str) -> None:
-    """Copy bytes both ways until either side ends."""
+    """Copy bytes in both directions until either side ends."""
     loop = asyncio.get_running_loop()
     server = make_stream_socket()
     prepare_stream_socket(client)
     try:
-        await loop.sock_connect(server, (host.encode(), PORT))  # as the proxy does: text goes through a codec
+        await loop.sock_connect(
+            server, (host.encode(), PORT)
+        )  # bytes, as the proxy passes: a host given as text is encoded for each call
         copies = [loop.create_task(_copy(client, server)), loop.create_task(_copy(server, client))]
         await asyncio.wait(copies, return_when=asyncio.FIRST_COMPLETED)
         for copy in copies:
             copy.cancel()
         await asyncio.wait(copies)
     except OSError:
-        pass  # the server refused, or is gone: the client sees its connection end
+        pass  # the server refused the connection or is not reachable: the client's connection is closed
     finally:
         client.close()
         server.close()
 
 
-async def _copy(source: socket.socket, sink: socket.socket) -> None:
+async def _copy(source: socket.socket, destination: socket.socket) -> None:
     loop = asyncio.get_running_loop()
     buffer = bytearray(COPY_BUFFER_BYTES)
     with contextlib.suppress(OSError):
         while count := await loop.sock_recv_into(source, buffer):
-            await loop.sock_sendall(sink, memoryview(buffer)[:count])
+            await loop.sock_sendall(destination, memoryview(buffer)[:count])
--- a/stoatgw/lab/bench/load.py
+++ b/stoatgw/lab/bench/load.py
@@ -1,4 +1,4 @@
-"""Load generators: processes that open sessions, exchange lines, or hold sessions open."""
+"""Load generators: processes that set up sessions, exchange lines, or hold sessions open."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from stoatgw.lab.bench.endpoints import Endpoint, make_stream_socket, set_up_helper_process
 from stoatgw.lab.bench.helpers import READY
 
-GO = "go"  # what the bench sends to begin
-END = "end"  # what the bench sends to close held sessions
+GO = "go"  # sent by the bench to start the load
+END = "end"  # sent by the bench to close held sessions
 
 LINE = b"set 0123456789 of a usual exercise line\r\n"
 LINES_IN_FLIGHT = 4  # on each connection
@@ -29,16 +29,16 @@
 
 
 class Workload(StrEnum):
-    """What a load generator does."""
+    """Kind of load that a load generator produces."""
 
     SETUPS = "setups"  # opens sessions and closes them at once
     LINES = "lines"  # exchanges lines on sessions that stay open
-    HOLD = "hold"  # holds sessions open until it is told to end
+    HOLD = "hold"  # holds sessions open until END is received
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """One load generator's work."""
+    """Parameters of one load generator."""
 
     workload: Workload
     target: Endpoint
@@ -48,7 +48,10 @@
 
 
 def run_load(pipe: Connection, plan: LoadPlan) -> None:
-    """A load generator's main function; sends READY, waits for GO, and sends operations a second or sessions held."""
+    """Run a load generator; the main function of its process.
+
+    It sends READY, waits for GO, and sends its result: operations per second, or the number of held sessions.
+    """
     set_up_helper_process(plan.core)
     uvloop.run(_run_load(pipe, plan))
 
@@ -85,7 +88,7 @@
     """Open a session and wait for its UP.
 
     Raises:
-        OSError: The target does not accept, or answers anything else.
+        OSError: The target does not accept the connection, or sends another answer.
     """
     loop = asyncio.get_running_loop()
     sock = make_stream_socket()
@@ -99,7 +102,7 @@
 
 
 async def _set_up_sessions(target: Endpoint, request_numbers: Iterator[int], until_s: float) -> int:
-    """Open sessions and close them at once; returns how many were established."""
+    """Open sessions and close them at once; return the number of established ones."""
     established = 0
     while time.perf_counter() < until_s:
         try:
@@ -113,7 +116,7 @@
 
 
 async def _exchange_lines(sock: socket.socket, until_s: float) -> int:
-    """Send lines and wait for their echoes; returns how many came back."""
+    """Send lines and wait for their echoes; return the number of echoed lines."""
     loop = asyncio.get_running_loop()
     burst = LINE * LINES_IN_FLIGHT
     echoed = 0
@@ -130,7 +133,7 @@
 
 
 async def _hold_sessions(pipe: Connection, plan: LoadPlan, request_numbers: Iterator[int]) -> None:
-    """Open sessions, use each both ways, send how many are held, and hold them until END."""
+    """Open sessions, exchange lines on each, send the number of held sessions, and hold them until END."""
     loop = asyncio.get_running_loop()
     socks: list[socket.socket] = []
     failed = 0
@@ -141,7 +144,7 @@
         opened = [outcome for outcome in outcomes if isinstance(outcome, socket.socket)]
         failed += len(outcomes) - len(opened)
         socks += opened
-    for _ in range(2):  # every connection has been used, both ways
+    for _ in range(2):  # so that every connection has been used in both directions
         for sock in socks:
             await loop.sock_sendall(sock, LINE)
             await loop.sock_recv(sock, ANSWER_BYTES)
--- a/stoatgw/lab/bench/measure.py
+++ b/stoatgw/lab/bench/measure.py
@@ -1,4 +1,4 @@
-"""What `stoatgw lab bench` measures, as lines for people and a table."""
+"""The measurements of `stoatgw lab bench`, as lines of text and a table."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 def measure(seconds: float, rounds: int, clients: int, sessions: int, out: Path | None) -> Iterator[str]:
-    """Measure proxy and relay; yields lines for people, and writes the table to `out` where it is given.
+    """Measure proxy and relay; yield lines of text, and write the table to `out` unless it is None.
 
     Args:
         seconds: Duration of each round.
-        rounds: Pairs of rounds of proxy and relay, in turn.
+        rounds: Pairs of rounds of proxy and relay; the order alternates.
         clients: Concurrent clients that set up sessions.
-        sessions: Sessions held for the measurement of memory and descriptors.
+        sessions: Number of sessions held to measure memory and descriptors.
         out: The table's file (CSV).
 
     Raises:
-        LabError: The machine has too few cores, or a process did not start.
+        LabError: Too few cores are available, or a process did not start or send its result in time.
     """
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < MIN_CORES:
-        raise LabError("bench: needs three cores, one for the proxy alone")
+        raise LabError("bench: needs three cores, one of them for the proxy only")
     set_descriptor_limit(descriptors_for(sessions))
     rows: list[dict[str, Value]] = []
     with BenchRig(cores, sessions) as rig:
@@ -51,7 +51,7 @@
 
 
 def _measure_rates(rig: BenchRig, workload: Workload, clients: int, seconds: float, rounds: int) -> dict[str, Value]:
-    """The table's row of one workload: rates of both, and their ratio with its interval."""
+    """Return the table row of one workload: rates of proxy and relay, and their ratio with its interval."""
     pairs = []
     for round_number in range(rounds):
         order = [Target.PROXY, Target.RELAY]
@@ -85,5 +85,5 @@
 
 
 def _format_row(row: dict[str, Value]) -> str:
-    head, *rest = row.items()
-    return f"{head[1]}: " + ", ".join(f"{name} {value}" for name, value in rest)
+    label, *values = row.items()
+    return f"{label[1]}: " + ", ".join(f"{name} {value}" for name, value in values)
--- a/stoatgw/lab/bench/proxy_config.py
+++ b/stoatgw/lab/bench/proxy_config.py
@@ -1,4 +1,4 @@
-"""LB_CONFIG of the proxy under test: limits that do not bind, and servers that look empty."""
+"""LB_CONFIG of the measured proxy: its limits are never reached, and its servers report a low load."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def descriptors_for(sessions: int) -> int:
-    """Descriptors that a process needs for so many sessions, with a margin."""
+    """Return the number of descriptors that a process needs for a number of sessions, with a margin."""
     return 4 * sessions + 4096
 
 
 def make_proxy_config(sessions: int) -> dict[str, Any]:
-    """LB_CONFIG for so many established sessions."""
+    """Return LB_CONFIG for a number of established sessions."""
     return {
         "name": "bench",
         "listen": f"{PROXY_HOST}:{PORT}",
--- a/stoatgw/lab/bench/rig.py
+++ b/stoatgw/lab/bench/rig.py
@@ -1,4 +1,4 @@
-"""The bench's processes: toy servers, relay and proxy for all rounds, and load generators for each."""
+"""The processes of the bench: toy servers, relay and proxy for all rounds, and load generators for each round."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 LOAD_GENERATORS = 2
 READY_TIMEOUT_S = 20.0
-RESULT_TIMEOUT_S = 30.0  # beyond the round's duration
+RESULT_TIMEOUT_S = 30.0  # in addition to the round's duration
 HOLD_TIMEOUT_S = 120.0
 PROCESS_END_TIMEOUT_S = 5.0
 HOLD_END_TIMEOUT_S = 20.0
@@ -33,20 +33,27 @@
 
 
 class Target(StrEnum):
-    """What is measured."""
+    """The measured program."""
 
     PROXY = "proxy"
     RELAY = "relay"
 
     @property
     def endpoint(self) -> Endpoint:
-        """Where it listens."""
+        """The address at which it listens."""
         return (PROXY_HOST if self is Target.PROXY else RELAY_HOST), PORT
 
 
 @dataclass(frozen=True, slots=True)
 class SessionFootprint:
-    """What a process holds for each established session, over what it held before them."""
+    """Resources that a process uses for each established session.
+
+    Attributes:
+        kib: Resident memory added by each session.
+        descriptors: Open descriptors added by each session.
+        sessions: Number of sessions measured.
+        idle_mib: Resident memory before the sessions were established.
+    """
 
     kib: float
     descriptors: float
@@ -55,10 +62,10 @@
 
 
 class BenchRig:
-    """The processes under test, as a context manager: they run while it is entered."""
+    """The processes of the bench, as a context manager that starts and stops them."""
 
     def __init__(self, cores: list[int], sessions: int) -> None:
-        """Lay out the processes: the first core for relay and proxy, the second for servers, the rest for load."""
+        """Assign the cores: the first to relay and proxy, the second to the servers, the rest to load generators."""
         self._target_core = cores[0]
         self._server_core = cores[1]
         self._load_cores = cores[2:] or cores
@@ -73,7 +80,7 @@
         self._relay_pid = self._start_helper(serve_relay, self._target_core)
         self._proxy.start()
         if not asyncio.run(self._proxy.wait_ready()):
-            raise LabError(f"bench: the proxy did not come up: {self._proxy.read_log_events()[-1:]}")
+            raise LabError(f"bench: the proxy did not start: {self._proxy.read_log_events()[-1:]}")
         return self
 
     def __exit__(
@@ -86,10 +93,10 @@
         self._folder.cleanup()
 
     def measure_rate(self, target: Target, workload: Workload, clients: int, duration_s: float) -> float:
-        """Operations a second by so many concurrent clients, divided among the load generators.
+        """Return operations per second of `clients` concurrent clients, divided among the load generators.
 
         Raises:
-            LabError: A load generator did not start or did not come back.
+            LabError: A load generator did not start or did not send its result in time.
         """
         generators = []
         for index in range(LOAD_GENERATORS):
@@ -98,17 +105,19 @@
             plan = LoadPlan(workload, target.endpoint, clients // LOAD_GENERATORS + remainder, duration_s, core)
             generators.append(self._spawn(run_load, plan))
         for _, pipe in generators:
-            _await_ready(pipe, "bench: a caller did not come up")
+            _await_ready(pipe, "bench: a load generator did not start")
         for _, pipe in generators:
             pipe.send(GO)
         rate = 0.0
         for process, pipe in generators:
-            rate += _receive(pipe, duration_s + RESULT_TIMEOUT_S, "bench: a caller did not come back")
+            rate += _receive(
+                pipe, duration_s + RESULT_TIMEOUT_S, "bench: a load generator did not send its result in time"
+            )
             process.join(PROCESS_END_TIMEOUT_S)
         return rate
 
     def measure_footprint(self, target: Target, sessions: int) -> SessionFootprint:
-        """Memory and descriptors for each of so many established sessions.
+        """Return memory and descriptors for each of a number of established sessions.
 
         Raises:
             LabError: The load generator did not start, or the sessions were not established in time.
@@ -118,9 +127,9 @@
         idle_descriptors = _count_descriptors(pid)
         plan = LoadPlan(Workload.HOLD, target.endpoint, sessions, 0.0, self._load_cores[-1])
         process, pipe = self._spawn(run_load, plan)
-        _await_ready(pipe, "bench: a caller did not come up")
+        _await_ready(pipe, "bench: a load generator did not start")
         pipe.send(GO)
-        held = int(_receive(pipe, HOLD_TIMEOUT_S, "bench: the standing connections did not come up"))
+        held = int(_receive(pipe, HOLD_TIMEOUT_S, "bench: the sessions were not established in time"))
         time.sleep(SETTLE_S)
         added_kib = _resident_kib(pid) - idle_kib
         added_descriptors = _count_descriptors(pid) - idle_descriptors
@@ -134,19 +143,19 @@
         )
 
     def _start_helper(self, helper: Helper, core: int) -> int:
-        """Start a helper on a core and wait until it serves; returns its process id."""
-        ours, theirs = self._context.Pipe()
-        process = self._context.Process(target=run_helper, args=(helper, core, theirs), daemon=True)
+        """Start a helper on a core, wait until it is ready, and return its process id."""
+        parent_pipe, child_pipe = self._context.Pipe()
+        process = self._context.Process(target=run_helper, args=(helper, core, child_pipe), daemon=True)
         process.start()
         self._helpers.append(process)
-        _await_ready(ours, "bench: a helper did not come up")
+        _await_ready(parent_pipe, "bench: a helper process did not start")
         return process.pid or 0
 
     def _spawn(self, main: Callable[[Connection, LoadPlan], None], plan: LoadPlan) -> tuple[BaseProcess, Connection]:
-        ours, theirs = self._context.Pipe()
-        process = self._context.Process(target=main, args=(theirs, plan), daemon=True)
+        parent_pipe, child_pipe = self._context.Pipe()
+        process = self._context.Process(target=main, args=(child_pipe, plan), daemon=True)
         process.start()
-        return process, ours
+        return process, parent_pipe
 
 
 def _await_ready(pipe: Connection, reason: str) -> None:
