--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The lab: experiments that go on and overwrite nothing, comparisons, reports, the command line, and loopback."""
+"""The lab: resuming experiments without overwriting others, comparisons, reports, command line, and loopback runs."""
 
 from __future__ import annotations
 
@@ -29,10 +29,12 @@
 from stoatgw.lab.scorecard import Scorecard
 from stoatgw.lab.tables import metrics
 
-SHORT = ("length_s=12", "faults.0.at_s=3")
+SHORT_CHANGES = ("length_s=12", "faults.0.at_s=3")
 
 
-def plan(out: Path, name: str = "pauses", seeds: int = 2, changes: tuple[str, ...] = SHORT) -> Experiment:
+def plan_experiment(
+    out: Path, name: str = "pauses", seeds: int = 2, changes: tuple[str, ...] = SHORT_CHANGES
+) -> Experiment:
     request = ExperimentRequest(
         scenario_file=find_scenario(name), out=out, policies=("module", "floor"), seeds=range(seeds), changes=changes
     )
@@ -47,49 +49,49 @@
     }
 
 
-def test_results_are_the_same_to_the_byte_with_one_and_eight_jobs(tmp_path: Path) -> None:
+def test_results_are_identical_with_one_and_eight_jobs(tmp_path: Path) -> None:
     for jobs in (1, 8):
-        plan(tmp_path / str(jobs), seeds=4).run(jobs, lambda _: None)
-    one = read_files(tmp_path / "1")
-    eight = read_files(tmp_path / "8")
-    assert one.keys() == eight.keys()
-    assert len(one) == 8 + 4 + 1
-    assert [name for name in one if one[name] != eight[name]] == []
+        plan_experiment(tmp_path / str(jobs), seeds=4).run(jobs, lambda _: None)
+    one_job = read_files(tmp_path / "1")
+    eight_jobs = read_files(tmp_path / "8")
+    assert one_job.keys() == eight_jobs.keys()
+    assert len(one_job) == 8 + 4 + 1  # results, tables, scenario.toml
+    assert [name for name in one_job if one_job[name] != eight_jobs[name]] == []
 
 
-def test_an_interrupted_experiment_goes_on_where_it_stopped(tmp_path: Path) -> None:
-    seen: list[int] = []
+def test_an_interrupted_experiment_resumes_without_repeating_runs(tmp_path: Path) -> None:
+    seeds_run: list[int] = []
 
     def interrupt(result: Result) -> None:
-        seen.append(result.seed)
-        if len(seen) == 3:
+        seeds_run.append(result.seed)
+        if len(seeds_run) == 3:
             raise KeyboardInterrupt
 
     with pytest.raises(KeyboardInterrupt):
-        plan(tmp_path / "x", seeds=3).run(1, interrupt)
-    kept = {path.name: path.stat().st_mtime_ns for path in (tmp_path / "x" / "runs").iterdir()}
-    assert len(kept) == 3
-    (tmp_path / "x" / "runs" / "floor-0.json").write_bytes(b'{"cut off')  # as a full disk would leave it
-    assert len(plan(tmp_path / "x", seeds=3).run(1, lambda _: None)) == 6
-    for name, changed in kept.items():
+        plan_experiment(tmp_path / "x", seeds=3).run(1, interrupt)
+    modified_ns = {path.name: path.stat().st_mtime_ns for path in (tmp_path / "x" / "runs").iterdir()}
+    assert len(modified_ns) == 3
+    (tmp_path / "x" / "runs" / "floor-0.json").write_bytes(b'{"cut off')  # as a full disk can leave it
+    assert len(plan_experiment(tmp_path / "x", seeds=3).run(1, lambda _: None)) == 6
+    for name, before in modified_ns.items():
         after = (tmp_path / "x" / "runs" / name).stat().st_mtime_ns
-        assert (after == changed) == (name != "floor-0.json"), name
-    plan(tmp_path / "y", seeds=3).run(1, lambda _: None)
+        assert (after == before) == (name != "floor-0.json"), name
+    plan_experiment(tmp_path / "y", seeds=3).run(1, lambda _: None)
     assert read_files(tmp_path / "x") == read_files(tmp_path / "y")
 
 
 def test_the_folder_of_another_experiment_is_rejected(tmp_path: Path) -> None:
     out = tmp_path / "x"
-    plan(out, seeds=1)
+    plan_experiment(out, seeds=1)
     before = read_files(tmp_path)
     with pytest.raises(LabError, match="contains another experiment"):
-        plan(out, seeds=1, changes=(*SHORT, "clients.load=0.2"))
-    (tmp_path / "mine").mkdir()
-    (tmp_path / "mine" / "letter").write_text("dear")
+        plan_experiment(out, seeds=1, changes=(*SHORT_CHANGES, "clients.load=0.2"))
+    (tmp_path / "other").mkdir()
+    (tmp_path / "other" / "file").write_text("content")
     with pytest.raises(LabError, match="is not empty"):
-        plan(tmp_path / "mine")
+        plan_experiment(tmp_path / "other")
     with pytest.raises(LabError, match="is not a folder"):
-        plan(tmp_path / "mine" / "letter")
+        plan_experiment(tmp_path / "other" / "file")
     assert read_files(out) == {name[2:]: data for name, data in before.items()}
 
 
@@ -103,8 +105,8 @@
     assert confidence_interval(np.array([1.0])) == (float("-inf"), float("inf"))
 
 
-def test_runs_are_compared_by_seed_without_void_ones(tmp_path: Path) -> None:
-    results = plan(tmp_path / "x", seeds=3).run(1, lambda _: None)
+def test_runs_are_compared_by_seed_and_void_runs_are_excluded(tmp_path: Path) -> None:
+    results = plan_experiment(tmp_path / "x", seeds=3).run(1, lambda _: None)
     module = [result for result in results if result.policy == "module"]
     floor = [result for result in results if result.policy == "floor"]
     differences = {each.name: each for each in compare(floor, module[::-1])}
@@ -118,10 +120,10 @@
         compare(floor[:1], module[1:])
 
 
-def test_the_report_is_one_page_that_needs_nothing_else(tmp_path: Path) -> None:
+def test_the_report_is_one_self_contained_page(tmp_path: Path) -> None:
     out = tmp_path / "x"
     arguments = ["lab", "run", "pauses", "--seeds", "2", "--jobs", "1", "--events", "--out", str(out)]
-    for change in SHORT:
+    for change in SHORT_CHANGES:
         arguments += ["--set", change]
     result = CliRunner().invoke(stoatgw, arguments)
     assert result.exit_code == 0
@@ -163,7 +165,7 @@
         (["frobnicate"], "frobnicate"),
     ],
 )
-def test_what_cannot_be_used_is_one_line_and_status_2(
+def test_unusable_arguments_give_one_line_and_status_2(
     arguments: list[str],
     expected: str,
     capsys: pytest.CaptureFixture[str],
@@ -191,12 +193,12 @@
     assert "pauses" in capsys.readouterr().out
 
 
-TIMED = (Rule.ANSWER_IN_TIME, Rule.NO_SEND_TO_DRAINING)  # a slow machine may break these; a bench measures them
+TIMING_RULES = (Rule.ANSWER_IN_TIME, Rule.NO_SEND_TO_DRAINING)  # slow machines may violate them; a bench measures them
 
 
-def test_a_short_loopback_day_with_real_proxies(tmp_path: Path) -> None:
-    """Two real proxies, one restarted and one killed, before modelled servers: the wire shows the rules kept."""
-    day = load_scenario(
+def test_a_short_loopback_run_with_real_proxies(tmp_path: Path) -> None:
+    """Two proxies before modelled servers, one restarted and one killed, violate no rule except those on timing."""
+    scenario = load_scenario(
         find_scenario("calm"),
         (
             "length_s=9",
@@ -208,9 +210,9 @@
             " {kind='kill_proxy', at_s=6, proxy=1, back_s=0.5}]",
         ),
     )
-    result = run_loopback(day, 1, tmp_path / "log.gz")
+    result = run_loopback(scenario, 1, tmp_path / "log.gz")
     events = [decode_event(line) for line in gzip.decompress((tmp_path / "log.gz").read_bytes()).splitlines()]
-    assert [text for text in result.violations if not any(rule.value in text for rule in TIMED)] == []
+    assert [text for text in result.violations if not any(rule.value in text for rule in TIMING_RULES)] == []
     assert result.checker_counts["up"] > 30
     assert result.checker_counts["moved"] > 5
     assert result.checker_counts["sent"] > 5
@@ -218,18 +220,18 @@
     assert result.service["whole"] > 0.2
 
 
-def test_policies_by_scenario_and_the_two_drivers_are_set_side_by_side(tmp_path: Path) -> None:
+def test_overview_compares_policies_and_agree_compares_the_drivers(tmp_path: Path) -> None:
     out = tmp_path / "virtual"
-    real = tmp_path / "loopback"
-    results = plan(out, seeds=3).run(1, lambda _: None)
+    loopback = tmp_path / "loopback"
+    results = plan_experiment(out, seeds=3).run(1, lambda _: None)
     for name in ("runs", "events"):
-        (real / name).mkdir(parents=True)
-    (real / "manifest.json").write_bytes((out / "manifest.json").read_bytes())
+        (loopback / name).mkdir(parents=True)
+    (loopback / "manifest.json").write_bytes((out / "manifest.json").read_bytes())
     for result in results:
-        result.service["whole"] -= 0.3  # as though loopback had served less
-        (real / "runs" / f"{result.policy}-{result.seed}.json").write_bytes(encode_result(result))
+        result.service["whole"] -= 0.3  # as if loopback had served less
+        (loopback / "runs" / f"{result.policy}-{result.seed}.json").write_bytes(encode_result(result))
     assert CliRunner().invoke(stoatgw, ["lab", "overview", str(out), "--out", str(tmp_path / "o")]).exit_code == 0
-    agree = ["lab", "agree", "--pair", str(out), str(real), "--out", str(tmp_path / "o")]
+    agree = ["lab", "agree", "--pair", str(out), str(loopback), "--out", str(tmp_path / "o")]
     assert CliRunner().invoke(stoatgw, agree).exit_code == 0
     with (tmp_path / "o" / "agreement.csv").open() as table:
         within = {row["figure"]: row["within"] for row in csv.DictReader(table)}
@@ -238,16 +240,16 @@
 
 
 def feed_scorecard(*rows: tuple[object, ...]) -> Scorecard:
-    """A scorecard of one client that wants 20 s from second 0, worth 2 a second, after a log."""
+    """Return a scorecard fed with `rows`, of one client that wants a session from 0 s to 20 s, with weight 2."""
     population = draw_population(load_scenario(find_scenario("calm")), 400.0, RandomStreams(1))
-    small = replace(
+    one_client = replace(
         population,
         arrival_us=np.zeros(1, dtype=np.int64),
         departure_us=np.full(1, 20_000_000),
         request_class=np.zeros(1, dtype=int),
     )
-    loads = {"a": 0.9, "b": 0.5, "c": 0.95}
-    scorecard = Scorecard(small, (2.0,), 20_000_000, lambda server: loads.get(server, 0.0))
+    utilization = {"a": 0.9, "b": 0.5, "c": 0.95}
+    scorecard = Scorecard(one_client, (2.0,), 20_000_000, lambda server: utilization.get(server, 0.0))
     for row in rows:
         scorecard.feed(Event(*row))  # type: ignore[arg-type]
     return scorecard
@@ -275,7 +277,7 @@
 
 
 def test_stored_field_names_stay() -> None:
-    """Folders of older versions are read, and other tools read the JSON: a rename in the code must not reach it."""
+    """Guards against a renamed attribute in stored JSON, which older experiments and other tools depend on."""
     names = (
         "scenario digest seed policy driver void service goal tally shares broken broken_count events events_digest "
         "counts faults asked earned classes seconds loads setups proxies servers standing recovery"
@@ -285,7 +287,7 @@
     assert list(Manifest.__struct_encode_fields__) == manifest_names.split()
 
 
-def test_recovery_ends_once_service_stays_recovered() -> None:
+def test_recovery_time_ends_once_service_stays_recovered() -> None:
     demanded = np.full(40, 10.0)
     earned = np.full(40, 9.5)
     earned[10:20] = 3.0
@@ -295,6 +297,6 @@
     assert recovery_s(demanded, earned, []) == 0.0
     earned[10:] = 3.0
     assert recovery_s(demanded, earned, faults) == 25.0
-    loads = {"s-0": [0.5] * 20 + [0.9] * 20, "s-1": [0.5] * 40, "mean": [0.5] * 20 + [0.7] * 20}
-    assert overshoot(loads, faults) == pytest.approx(0.2)
-    assert spread(loads) == pytest.approx(0.2)
+    utilization = {"s-0": [0.5] * 20 + [0.9] * 20, "s-1": [0.5] * 40, "mean": [0.5] * 20 + [0.7] * 20}
+    assert overshoot(utilization, faults) == pytest.approx(0.2)
+    assert spread(utilization) == pytest.approx(0.2)
