--- a/stoatgw/lab/bench/helpers.py
+++ b/stoatgw/lab/bench/helpers.py
@@ -81,9 +81,7 @@
     server = make_stream_socket()
     prepare_stream_socket(client)
     try:
-        await loop.sock_connect(
-            server, (host.encode(), PORT)
-        )  # bytes, as the proxy passes: a host given as text is encoded for each call
+        await loop.sock_connect(server, (host.encode(), PORT))  # bytes as in the proxy; a str goes through a codec
         copies = [loop.create_task(_copy(client, server)), loop.create_task(_copy(server, client))]
         await asyncio.wait(copies, return_when=asyncio.FIRST_COMPLETED)
         for copy in copies:
--- a/stoatgw/lab/bench/measure.py
+++ b/stoatgw/lab/bench/measure.py
@@ -85,5 +85,5 @@
 
 
 def _format_row(row: dict[str, Value]) -> str:
-    label, *values = row.items()
-    return f"{label[1]}: " + ", ".join(f"{name} {value}" for name, value in values)
+    first, *others = row.items()
+    return f"{first[1]}: " + ", ".join(f"{name} {value}" for name, value in others)
--- a/stoatgw/lab/charts.py
+++ b/stoatgw/lab/charts.py
@@ -67,7 +67,7 @@
     return POLICY_COLOURS.get(policy, OTHER_COLOUR)
 
 
-def _error_bars(rows: Sequence[tuple[float, float, float]]) -> np.ndarray:
+def _error_bar_lengths(rows: Sequence[tuple[float, float, float]]) -> np.ndarray:
     """Return error bar lengths below and above the middle of rows (middle, low, high); infinite ends give 0."""
     lengths = np.array([[middle - low, high - middle] for middle, low, high in rows]).T
     return np.where(np.isfinite(lengths), np.maximum(lengths, 0.0), 0.0)
@@ -147,7 +147,7 @@
     figure, axes = plt.subplots(figsize=(8, 0.45 * len(shown) + 1.2))
     positions = np.arange(len(shown))[::-1]
     middles = np.array([each.difference for each in shown])
-    errors = _error_bars([(each.difference, each.low, each.high) for each in shown])
+    errors = _error_bar_lengths([(each.difference, each.low, each.high) for each in shown])
     axes.errorbar(middles, positions, xerr=errors, fmt="o", color=BLUE, capsize=3)
     axes.axvline(0.0, color="black", linewidth=0.8)
     axes.set_yticks(positions, [each.name for each in shown])
@@ -197,7 +197,7 @@
     figure, axes = plt.subplots(figsize=(9, 0.4 * len(rows) + 1.4))
     positions = np.arange(len(rows))[::-1]
     middles = np.array([row.virtual for row in rows])
-    errors = _error_bars([(row.virtual, row.low, row.high) for row in rows])
+    errors = _error_bar_lengths([(row.virtual, row.low, row.high) for row in rows])
     axes.errorbar(middles, positions, xerr=errors, fmt="|", color=BLUE, capsize=4, label="virtual, 95% interval")
     axes.plot([row.loopback for row in rows], positions, "o", color=RED, label="loopback")
     axes.set_yticks(positions, [f"{row.scenario}: {row.metric}" for row in rows])
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -21,7 +21,7 @@
 from stoatgw.emulator.world.scenario_file import load_scenario
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.manifest import (
-    FORMAT,
+    FORMAT_VERSION,
     Manifest,
     library_versions,
     manifest_file,
@@ -37,7 +37,7 @@
 MAX_JOBS = 256
 DEFAULT_POLICIES = {VIRTUAL: (MODULE, "floor", "top"), LOOPBACK: (MODULE,)}
 
-OnResult = Callable[[Result], None]
+ResultCallback = Callable[[Result], None]
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -91,7 +91,7 @@
         if request.driver == LOOPBACK and policies != [MODULE]:
             raise LabError("--policy: the loopback driver runs the real program and supports only the policy module")
         manifest = Manifest(
-            format=FORMAT,
+            format=FORMAT_VERSION,
             scenario=scenario.name,
             scenario_digest=scenario.digest,
             changes=list(request.changes),
@@ -115,7 +115,7 @@
             for policy in self.manifest.policies
         ]
 
-    def run(self, jobs: int | None, on_result: OnResult) -> list[Result]:
+    def run(self, jobs: int | None, on_result: ResultCallback) -> list[Result]:
         """Execute the runs that have no stored result, and write the tables.
 
         Args:
--- a/stoatgw/lab/manifest.py
+++ b/stoatgw/lab/manifest.py
@@ -14,7 +14,7 @@
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.scenarios import PROJECT_ROOT
 
-FORMAT = 1
+FORMAT_VERSION = 1
 LIBRARIES = ("numpy", "uvloop", "msgspec", "hdrhistogram")
 GIT_TIMEOUT_S = 10.0
 
--- a/stoatgw/lab/recovery.py
+++ b/stoatgw/lab/recovery.py
@@ -28,7 +28,7 @@
     baseline = service[max(0, begin - BASELINE_S) : max(1, begin)].mean()
     recovered = smoothed >= baseline - RECOVERED_MARGIN
     if len(recovered) > 1:
-        recovered[-1] = recovered[-2]  # the moving average has one value too few at the end
+        recovered[-1] = recovered[-2]  # the last average lacks a value and is too low
     for second in range(min(end, len(recovered) - 1), len(recovered)):
         if recovered[second : second + STABLE_S].all():
             return float(second - end)
--- a/stoatgw/lab/scorecard.py
+++ b/stoatgw/lab/scorecard.py
@@ -37,7 +37,7 @@
     since_us: int
     cause: LossCause = LossCause.SETTING_UP
     is_established: bool = False
-    has_finished: bool = False  # ended its session by BYE and wants no other
+    has_finished: bool = False  # ended its session by BYE and wants no new one
     server: str = ""
     migrated_from: str = ""  # empty once the session is established again
     migrated_at_us: int = -MIGRATION_OUTCOME_US
--- a/stoatgw/lab/shared_health_checks.py
+++ b/stoatgw/lab/shared_health_checks.py
@@ -96,9 +96,9 @@
 
     def poll(self) -> None:
         """Run one reconcile pass to its end without advancing virtual time."""
-        reconciling = self.checker.reconcile()
+        reconcile_pass = self.checker.reconcile()
         try:
-            reconciling.send(None)
+            reconcile_pass.send(None)
         except StopIteration:
             return
         raise RuntimeError("a reconcile pass waited; virtual time requires that it completes at once")
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -267,13 +267,17 @@
         (12_500_000, EventKind.SESSION_ESTABLISHED, "n", "u", "c", 0, "0"),
         (15_000_000, EventKind.SESSION_ENDED, "n", "u", "", 0, "broken"),
     )
-    figures = scorecard.compute_metrics(np.full((1, 20), 2.0), np.full((1, 20), 1.0), {}, [])
-    assert figures["lost_setting_up"] == pytest.approx(1.5 / 20)
-    assert figures["lost_refused"] == pytest.approx(1.5 / 20)
-    assert figures["lost_moved"] == pytest.approx(1.5 / 20)
-    assert figures["lost_broken"] == pytest.approx(5 / 20)
-    assert figures["lost_late"] == pytest.approx(0.5 - 9.5 / 20)
-    assert (figures["moves"], figures["moved_twice"], figures["moved_for_nothing"]) == (2, 1, 1)
+    recovery = scorecard.compute_metrics(np.full((1, 20), 2.0), np.full((1, 20), 1.0), {}, [])
+    assert recovery["lost_setting_up"] == pytest.approx(1.5 / 20)
+    assert recovery["lost_refused"] == pytest.approx(1.5 / 20)
+    assert recovery["lost_moved"] == pytest.approx(1.5 / 20)
+    assert recovery["lost_broken"] == pytest.approx(5 / 20)
+    assert recovery["lost_late"] == pytest.approx(0.5 - 9.5 / 20)
+    assert (recovery["moves"], recovery["moved_twice"], recovery["moved_for_nothing"]) == (
+        2,
+        1,
+        1,
+    )
 
 
 def test_stored_field_names_stay() -> None:
