--- a/stoatgw/lab/report.py
+++ b/stoatgw/lab/report.py
@@ -36,7 +36,7 @@
 <tr><th>paired by seed</th><th>difference</th><th>interval</th></tr>
 {% for cells in differences %}<tr>{% for cell in cells -%}
 <td>{{ cell }}</td>{% endfor %}</tr>{% endfor %}</table>{% endif %}
-<h2>Rule violations</h2>
+<h2>Void runs and rule violations</h2>
 {% if violations or void %}<ul>{% for run in void %}<li>void: {{ run }}</li>{% endfor %}
 {% for violation in violations %}<li>{{ violation }}</li>{% endfor %}</ul>{% else -%}
 <p>No violations in {{ runs }} runs.</p>{% endif %}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -273,11 +273,7 @@
     assert recovery["lost_moved"] == pytest.approx(1.5 / 20)
     assert recovery["lost_broken"] == pytest.approx(5 / 20)
     assert recovery["lost_late"] == pytest.approx(0.5 - 9.5 / 20)
-    assert (recovery["moves"], recovery["moved_twice"], recovery["moved_for_nothing"]) == (
-        2,
-        1,
-        1,
-    )
+    assert (recovery["moves"], recovery["moved_twice"], recovery["moved_for_nothing"]) == (2, 1, 1)
 
 
 def test_stored_field_names_stay() -> None:
