--- a/stoatgw/emulator/checker/checker.py
+++ b/stoatgw/emulator/checker/checker.py
@@ -21,7 +21,7 @@
     deadline_us: int
     proxy: str
     is_answered: bool = False
-    owes_no_answer: bool = False  # its client disconnected, or it was rejected
+    needs_no_answer: bool = False  # its client disconnected, or it was rejected
     server: str = ""
 
 
@@ -70,7 +70,7 @@
         """The log is over at `time_us`: a request that was owed an answer by then and has none was forgotten."""
         for request_id, request in self._requests.items():
             is_due = time_us - request.deadline_us - self._limits.answer_grace_us > 0
-            if not is_due or request.is_answered or request.owes_no_answer:
+            if not is_due or request.is_answered or request.needs_no_answer:
                 continue
             if not self._was_frozen(request.proxy, request.deadline_us, time_us):
                 reason = "no answer, and its client's time is up"
@@ -103,12 +103,12 @@
             self._report(Rule.ANSWER_IN_TIME, event, f"{late_us / 1000:.1f} ms after the client's time was up")
         if event.detail != "up":
             # The record stays, so that a second answer is noticed; a proxy that ends owes it nothing more.
-            request.owes_no_answer = True
+            request.needs_no_answer = True
 
     def _on_client_disconnected(self, event: Event) -> None:
         request = self._requests.get(event.request_id)
         if request is not None:
-            request.owes_no_answer = True
+            request.needs_no_answer = True
 
     # Attempts.
 
@@ -187,21 +187,21 @@
                 freezes[-1] = (freezes[-1][0], event.time_us)
             case "stopped":
                 self._report_unanswered(event)
-                self._forget_proxy(event.proxy)
+                self._remove_proxy(event.proxy)
             case "killed":
-                self._forget_proxy(event.proxy)
+                self._remove_proxy(event.proxy)
 
     def _report_unanswered(self, event: Event) -> None:
         """A proxy that stops in good order owes all its clients an answer."""
         for request_id, request in self._requests.items():
-            is_owed = not request.is_answered and not request.owes_no_answer
+            is_owed = not request.is_answered and not request.needs_no_answer
             if request.proxy == event.proxy and is_owed:
                 reason = "the proxy ended without an answer to it"
                 self.violations.append(
                     Violation(Rule.SINGLE_ANSWER, event.time_us, event.proxy, request_id, "", reason)
                 )
 
-    def _forget_proxy(self, proxy: str) -> None:
+    def _remove_proxy(self, proxy: str) -> None:
         for request_id in [each for each, request in self._requests.items() if request.proxy == proxy]:
             del self._requests[request_id]
             self._attempts.pop(request_id, None)
--- a/stoatgw/emulator/engine/gateway.py
+++ b/stoatgw/emulator/engine/gateway.py
@@ -18,7 +18,7 @@
 }
 
 
-class BadCallError(ValueError):
+class InvalidCallError(ValueError):
     """A body cannot be used: answered with status 400 and code 3."""
 
 
@@ -26,11 +26,11 @@
     """There is no such lease: answered with status 404 and code 5."""
 
 
-def answer(store: Store, path: str, body: Body, now_us: int) -> Body:
+def handle_call(store: Store, path: str, body: Body, now_us: int) -> Body:
     """Carry a call out.
 
     Raises:
-        BadCallError: The body cannot be used.
+        InvalidCallError: The body cannot be used.
         NotFoundError: The lease does not exist.
         KeyError: The path does not exist.
     """
@@ -42,14 +42,14 @@
     try:
         return base64.b64decode(body.get(field, ""), validate=True)
     except (TypeError, ValueError, binascii.Error):
-        raise BadCallError(f"{field}: no base64") from None
+        raise InvalidCallError(f"{field}: no base64") from None
 
 
 def _read_number(body: Body, field: str) -> int:
     try:
         return int(body.get(field, 0))
     except (TypeError, ValueError):
-        raise BadCallError(f"{field}: no number") from None
+        raise InvalidCallError(f"{field}: no number") from None
 
 
 def _format_header(store: Store) -> Body:
@@ -73,7 +73,7 @@
 def _grant(store: Store, body: Body, now_us: int) -> Body:
     ttl_s = _read_number(body, "TTL")
     if not 0 < ttl_s <= MAX_TTL_S:
-        raise BadCallError("TTL: out of range")
+        raise InvalidCallError("TTL: out of range")
     return {"header": _format_header(store), "ID": str(store.grant(ttl_s, now_us)), "TTL": str(ttl_s)}
 
 
@@ -111,7 +111,7 @@
             raise NotFoundError("requested lease not found")  # before anything is changed
     if puts:
         store.revision += 1
-    responses = [_carry_out(store, operation, now_us) for operation in operations]
+    responses = [_execute_request(store, operation, now_us) for operation in operations]
     response: Body = {"header": _format_header(store)}
     if succeeded:
         response["succeeded"] = True
@@ -119,7 +119,7 @@
     return response
 
 
-def _carry_out(store: Store, operation: Body, now_us: int) -> Body:
+def _execute_request(store: Store, operation: Body, now_us: int) -> Body:
     """One operation of a transaction."""
     if "request_put" in operation:
         put = operation["request_put"]
@@ -127,7 +127,7 @@
         return {"response_put": {"header": _format_header(store)}}
     if "request_range" in operation:
         return {"response_range": _range(store, operation["request_range"], now_us)}
-    raise BadCallError("request: unknown")
+    raise InvalidCallError("request: unknown")
 
 
 def _compare(store: Store, comparison: Body) -> bool:
@@ -136,7 +136,7 @@
     except ValueError:
         target = None
     if target is None or comparison.get("result", "EQUAL") != "EQUAL":
-        raise BadCallError("compare: only EQUAL of CREATE, MOD and VERSION is here")
+        raise InvalidCallError("compare: only EQUAL of CREATE, MOD and VERSION is here")
     return store.compare(_read_bytes(comparison, "key"), target, _read_number(comparison, COMPARED_FIELDS[target]))
 
 
--- a/stoatgw/emulator/engine/server.py
+++ b/stoatgw/emulator/engine/server.py
@@ -17,7 +17,7 @@
 
 import orjson
 
-from stoatgw.emulator.engine.gateway import HANDLERS, BadCallError, Body, NotFoundError, answer
+from stoatgw.emulator.engine.gateway import HANDLERS, Body, InvalidCallError, NotFoundError, handle_call
 from stoatgw.emulator.engine.store import Store, dump, restore
 
 MAX_BODY_BYTES = 4 << 20
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpAnswer:
+class EngineResponse:
     """A status and a JSON body."""
 
     status: int
@@ -55,7 +55,7 @@
         self.store = Store()
         if data is not None and data.exists():
             self.store = restore(data.read_bytes(), _now_us())
-        self._answers_to_lose = 0
+        self._responses_to_drop = 0
         self._delay_s = 0.0
         self.calls = 0
 
@@ -73,40 +73,40 @@
                 await writer.drain()
         writer.close()
 
-    def _handle(self, path: str, body: bytes) -> HttpAnswer | None:
+    def _handle(self, path: str, body: bytes) -> EngineResponse | None:
         """Carry a call out; None if its answer is to be lost."""
         self.calls += 1
         try:
-            response = self._carry_out(path, orjson.loads(body))
+            response = self._execute_request(path, orjson.loads(body))
         except NotFoundError as error:
-            return HttpAnswer(404, {"code": 5, "message": f"etcdserver: {error.args[0]}"})
-        except (BadCallError, orjson.JSONDecodeError, AttributeError, TypeError, KeyError) as error:
-            return HttpAnswer(400, {"code": 3, "message": str(error)[:200]})
-        if path == TRANSACTION_PATH and response.status == 200 and self._answers_to_lose:
-            self._answers_to_lose -= 1
+            return EngineResponse(404, {"code": 5, "message": f"etcdserver: {error.args[0]}"})
+        except (InvalidCallError, orjson.JSONDecodeError, AttributeError, TypeError, KeyError) as error:
+            return EngineResponse(400, {"code": 3, "message": str(error)[:200]})
+        if path == TRANSACTION_PATH and response.status == 200 and self._responses_to_drop:
+            self._responses_to_drop -= 1
             return None
         return response
 
-    def _carry_out(self, path: str, request: Any) -> HttpAnswer:
+    def _execute_request(self, path: str, request: Any) -> EngineResponse:
         if path == FAULTS_PATH:
-            self._answers_to_lose = int(request.get("lose", 0))
+            self._responses_to_drop = int(request.get("lose", 0))
             self._delay_s = float(request.get("slow_ms", 0)) / 1000
-            return HttpAnswer(200, {"asked": self.calls})
+            return EngineResponse(200, {"asked": self.calls})
         if path not in HANDLERS:
-            return HttpAnswer(404, {"code": 5, "message": "Not Found"})
+            return EngineResponse(404, {"code": 5, "message": "Not Found"})
         self.store.expire(_now_us())  # leases end on a full disk as well; stored with the next change
         before = self.store.copy()
-        response = answer(self.store, path, request, _now_us())
+        response = handle_call(self.store, path, request, _now_us())
         has_changed = self.store.revision != before.revision
         if has_changed or len(self.store.leases) != len(before.leases):
             try:
                 self._save()
             except OSError:
                 self.store = before
-                return HttpAnswer(429, {"code": 8, "message": "etcdserver: mvcc: database space exceeded"})
+                return EngineResponse(429, {"code": 8, "message": "etcdserver: mvcc: database space exceeded"})
         if has_changed:
             self._append_history()
-        return HttpAnswer(200, response)
+        return EngineResponse(200, response)
 
     def _append_history(self) -> None:
         """One line a changed key, for whoever checks afterwards what was ever stored."""
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -44,7 +44,7 @@
     ) -> None:
         """To be called on the event loop that the run takes place on; `folder` is for temporary files."""
         self.scheduler = RealTimeScheduler(asyncio.get_running_loop())
-        super().__init__(WorldState(scenario, seed, self.scheduler, sink, accounts_servers=False))
+        super().__init__(WorldState(scenario, seed, self.scheduler, sink, has_server_accounting=False))
         self.observe_start: ObserveStart | None = None  # called as the run starts
         self.utilization_samples: dict[str, list[float]] = {}  # what it gave
         self._run = RunState(self.world, AddressPlan(base_network), self.counts)
@@ -216,13 +216,13 @@
         """Stop a proxy by SIGTERM and start it again."""
         self._proxies.restart(proxy)
 
-    def kill_proxy(self, proxy: int, back_us: int) -> None:
-        """Kill a proxy and start it again after `back_us`."""
-        self._proxies.kill(proxy, back_us)
+    def kill_proxy(self, proxy: int, restart_delay_us: int) -> None:
+        """Kill a proxy and start it again after `restart_delay_us`."""
+        self._proxies.kill(proxy, restart_delay_us)
 
-    def freeze_proxy(self, proxy: int, for_us: int) -> None:
+    def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
         """Stop a proxy by SIGSTOP for a time."""
-        self._proxies.freeze(proxy, for_us)
+        self._proxies.freeze(proxy, freeze_us)
 
 
 def run_loopback(
--- a/stoatgw/emulator/loopback/proxy_fleet.py
+++ b/stoatgw/emulator/loopback/proxy_fleet.py
@@ -89,7 +89,7 @@
             "name": world.proxy_names[index],
             "listen": f"{host}:{port}",
             "discovery": f"{discovery_host}:{discovery_port}",
-            "seed": f"{world.streams.number(f'module {index}'):016x}",
+            "seed": f"{world.streams.derive_seed(f'module {index}'):016x}",
             "limits": {
                 "cores": 1.0,
                 "memory_mb": world.scenario.proxies.memory_mb,
@@ -117,12 +117,12 @@
 
     async def _restart(self, proxy: int) -> None:
         process = self._processes[proxy]
-        front_random = self._population.front_random
+        load_balancer_random = self._population.load_balancer_random
         self._log_state(process.name, "draining")
         process.signal(signal.SIGTERM)
-        admission_us = int(front_random.between(*ADMISSION_AFTER_SIGTERM_S) * 1e6)
+        admission_us = int(load_balancer_random.between(*ADMISSION_AFTER_SIGTERM_S) * 1e6)
         self._call_later(admission_us, partial(self._stop_admission, proxy))
-        back_s = front_random.between(*self._world.scenario.proxies.restart_s)
+        back_s = load_balancer_random.between(*self._world.scenario.proxies.restart_s)
         if not await process.wait_stopped(RESTART_STOP_TIMEOUT_S):
             self._log_fault(process.name, "did not stop in time after SIGTERM")
         await asyncio.sleep(LAST_BYTES_S)
@@ -144,8 +144,8 @@
         else:
             self._log_fault(process.name, "did not come up again")
 
-    def kill(self, proxy: int, back_us: int) -> None:
-        """Kill a process; it starts again after `back_us`."""
+    def kill(self, proxy: int, restart_delay_us: int) -> None:
+        """Kill a process; it starts again after `restart_delay_us`."""
         if not self.is_running(proxy):
             return
         process = self._processes[proxy]
@@ -153,9 +153,9 @@
         self._log_state(process.name, "killed")
         process.kill()
         notice_range_s = self._world.scenario.proxies.notice_s
-        notice_us = int(self._population.front_random.between(*notice_range_s) * 1e6)
+        notice_us = int(self._population.load_balancer_random.between(*notice_range_s) * 1e6)
         self._call_later(notice_us, partial(self._notice_end, proxy))
-        self._call_later(back_us, partial(self._spawn_start_again, proxy))
+        self._call_later(restart_delay_us, partial(self._spawn_start_again, proxy))
 
     def _spawn_start_again(self, proxy: int) -> None:
         self._spawn(self._start_again(proxy))
@@ -165,13 +165,13 @@
         if proxy in self._ended_on_purpose:
             self._stop_admission(proxy)
 
-    def freeze(self, proxy: int, for_us: int) -> None:
+    def freeze(self, proxy: int, freeze_us: int) -> None:
         """Stop a process by SIGSTOP for a time."""
         if not self.is_running(proxy):
             return
         self._log_state(self._world.proxy_names[proxy], "frozen")
         self._processes[proxy].signal(signal.SIGSTOP)
-        self._call_later(for_us, partial(self._thaw, proxy))
+        self._call_later(freeze_us, partial(self._thaw, proxy))
 
     def _thaw(self, proxy: int) -> None:
         self._log_state(self._world.proxy_names[proxy], "thawed")
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -183,13 +183,13 @@
         """Stop a proxy by SIGTERM and start it again."""
         self._processes.restart(proxy)
 
-    def kill_proxy(self, proxy: int, back_us: int) -> None:
-        """Kill a proxy and start it again after `back_us`."""
-        self._processes.kill(proxy, back_us)
+    def kill_proxy(self, proxy: int, restart_delay_us: int) -> None:
+        """Kill a proxy and start it again after `restart_delay_us`."""
+        self._processes.kill(proxy, restart_delay_us)
 
-    def freeze_proxy(self, proxy: int, for_us: int) -> None:
+    def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
         """Stop a proxy by SIGSTOP for a time."""
-        self._processes.freeze(proxy, for_us)
+        self._processes.freeze(proxy, freeze_us)
 
 
 def _lose_server(proxy: VirtualProxy, server: ServerModel) -> None:
--- a/stoatgw/emulator/virtual/proxy_processes.py
+++ b/stoatgw/emulator/virtual/proxy_processes.py
@@ -96,11 +96,11 @@
             controller=Controller(settings, seed, self._clock, log, Counters(), self._make_policy),
             backends=BackendRegistry(),
             settings=settings,
-            random=UniformSource(world.streams.of(f"proxy {index}", start_number)),
+            random=UniformSource(world.streams.create_generator(f"proxy {index}", start_number)),
         )
 
     def _policy_seed(self, index: int, start_number: int) -> int:
-        return self._world.streams.number(f"module {index}", start_number)
+        return self._world.streams.derive_seed(f"module {index}", start_number)
 
     def _start_controller(self, proxy: VirtualProxy, seed: int) -> None:
         limits = self._world.scenario.operators.rebalance
@@ -118,7 +118,7 @@
         plan = plan_shutdown(proxy.settings, handed_over=False)
         proxy.loop.deliver(partial(proxy.controller.post, plan.drain))
         now_us = self._scheduler.now_us()
-        stop_us = now_us + int(self._population.front_random.between(*ADMISSION_AFTER_SIGTERM_US))
+        stop_us = now_us + int(self._population.load_balancer_random.between(*ADMISSION_AFTER_SIGTERM_US))
         self._scheduler.call_at(stop_us, partial(self._stop_admission, index))
         poll = partial(self._poll_drained, proxy, now_us + plan.max_duration_us)
         self._scheduler.call_at(now_us + plan.min_duration_us, poll)
@@ -134,18 +134,18 @@
             self._scheduler.call_at(now_us + DRAIN_POLL_INTERVAL_US, partial(self._poll_drained, proxy, until_us))
             return
         restart_range_s = self._world.scenario.proxies.restart_s
-        self._end(proxy, "stopped", int(self._population.front_random.between(*restart_range_s) * 1e6))
+        self._end(proxy, "stopped", int(self._population.load_balancer_random.between(*restart_range_s) * 1e6))
 
     # Kill.
 
-    def kill(self, index: int, back_us: int) -> None:
-        """End a process at once; it starts again after `back_us`."""
+    def kill(self, index: int, restart_delay_us: int) -> None:
+        """End a process at once; it starts again after `restart_delay_us`."""
         proxy = self.proxies[index]
         if proxy.has_ended:
             return
-        self._end(proxy, "killed", back_us)
+        self._end(proxy, "killed", restart_delay_us)
         notice_range_s = self._world.scenario.proxies.notice_s
-        wait_us = int(self._population.front_random.between(*notice_range_s) * 1e6)
+        wait_us = int(self._population.load_balancer_random.between(*notice_range_s) * 1e6)
         self._scheduler.call_at(self._scheduler.now_us() + wait_us, partial(self._notice_end, index))
 
     def _notice_end(self, index: int) -> None:
@@ -153,13 +153,13 @@
         if self.proxies[index].has_ended:
             self._stop_admission(index)
 
-    def _end(self, proxy: VirtualProxy, how: str, back_us: int) -> None:
+    def _end(self, proxy: VirtualProxy, how: str, restart_delay_us: int) -> None:
         proxy.has_ended = True
         proxy.loop.kill()
         for session in list(proxy.sessions.values()):
             session.proxy_ended(how)
         self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail=how)
-        self._scheduler.call_at(self._scheduler.now_us() + back_us, partial(self._start_again, proxy.index))
+        self._scheduler.call_at(self._scheduler.now_us() + restart_delay_us, partial(self._start_again, proxy.index))
 
     def _start_again(self, index: int) -> None:
         self.proxies[index] = self._start(index)
@@ -170,7 +170,7 @@
 
     # Freeze by SIGSTOP.
 
-    def freeze(self, index: int, for_us: int) -> None:
+    def freeze(self, index: int, freeze_us: int) -> None:
         """Stop a process for a time."""
         proxy = self.proxies[index]
         if proxy.has_ended or proxy.loop.is_frozen:
@@ -178,7 +178,7 @@
         self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail="frozen")
         proxy.loop.freeze()
         self._set_sessions_reachable(proxy, False)
-        self._scheduler.call_at(self._scheduler.now_us() + for_us, partial(self._thaw, proxy))
+        self._scheduler.call_at(self._scheduler.now_us() + freeze_us, partial(self._thaw, proxy))
 
     def _thaw(self, proxy: VirtualProxy) -> None:
         if not proxy.has_ended:
--- a/stoatgw/emulator/world/client_population.py
+++ b/stoatgw/emulator/world/client_population.py
@@ -53,7 +53,7 @@
         self.clients = [Client(index, world.population, clients) for index in range(len(world.population))]
         self.open_sessions: list[SessionT | None] = [None] * len(self.clients)
         self.is_admitting: list[bool] = [True] * len(world.proxy_names)  # proxies that new clients are sent to
-        self.front_random = UniformSource(world.streams.of("front"))
+        self.load_balancer_random = UniformSource(world.streams.create_generator("front"))
         self.setup_times_us: list[tuple[int, int]] = []  # class, and time from the client's sending to UP
         self.counts: dict[str, int] = dict.fromkeys(COUNTERS, 0)
         self._mass_disconnects = 0
@@ -115,7 +115,7 @@
         candidates = local or admitting
         if not candidates:
             return None
-        return candidates[int(self.front_random.next() * len(candidates))]
+        return candidates[int(self.load_balancer_random.next() * len(candidates))]
 
     def _schedule_reconnect(self, index: int, wait_us: int) -> None:
         self.open_sessions[index] = None
@@ -192,12 +192,12 @@
             self.open_sessions[index] = None
             self.finish_session(session)
 
-    def disconnect_clients(self, part: float, within_us: int) -> None:
+    def disconnect_clients(self, client_share: float, within_us: int) -> None:
         """A share of the clients with sessions disconnects; each connects again within the span."""
-        random = UniformSource(self.world.streams.of("drops", self._mass_disconnects))
+        random = UniformSource(self.world.streams.create_generator("drops", self._mass_disconnects))
         self._mass_disconnects += 1
         for index, session in enumerate(self.open_sessions):
-            if session is not None and session.is_client_answered and random.next() < part:
+            if session is not None and session.is_client_answered and random.next() < client_share:
                 self.disconnect_client(session)
                 self.counts["broken"] += 1
                 self._schedule_reconnect(index, self.clients[index].delay_after_disconnect_us(within_us))
--- a/stoatgw/emulator/world/endpoint_publication.py
+++ b/stoatgw/emulator/world/endpoint_publication.py
@@ -52,7 +52,7 @@
         self._delays = scenario.discovery
         self._scheduler = scheduler
         self._notify = notify
-        self._delay_sources = [UniformSource(streams.of("discovery", proxy)) for proxy in proxies]
+        self._delay_sources = [UniformSource(streams.create_generator("discovery", proxy)) for proxy in proxies]
         self._pending: list[dict[int, list[EndpointEntry]]] = [{} for _ in proxies]  # by due time
         self._last_due_us: dict[tuple[int, str], int] = {}
         self._silent_until_us = 0
--- a/stoatgw/emulator/world/faults.py
+++ b/stoatgw/emulator/world/faults.py
@@ -24,7 +24,7 @@
 def _begin_fault(world: WorldState, number: int, fault: tables.AnyFault) -> None:
     kind = tables.fault_kind(type(fault).__name__)
     world.log(EventKind.FAULT_CHANGED, number=number, detail=f"{kind} begins")
-    injector = FaultInjector(world, UniformSource(world.streams.of("fault", number)))
+    injector = FaultInjector(world, UniformSource(world.streams.create_generator("fault", number)))
     duration_s = injector.inject(fault)
     end_us = world.scheduler.now_us() + int(duration_s * 1e6)
     world.scheduler.call_at(end_us, partial(world.log, EventKind.FAULT_CHANGED, number=number, detail=f"{kind} ends"))
--- a/stoatgw/emulator/world/network.py
+++ b/stoatgw/emulator/world/network.py
@@ -10,7 +10,7 @@
     """One-way latencies between zones, and between clients and proxies; drawn once."""
 
     def __init__(self, scenario: Scenario, streams: RandomStreams) -> None:
-        stream = streams.of("network")
+        stream = streams.create_generator("network")
         ranges = scenario.network
         zones = range(len(scenario.fleet.zones))
         self._zone_latency_us = [
--- a/stoatgw/emulator/world/population.py
+++ b/stoatgw/emulator/world/population.py
@@ -48,10 +48,10 @@
     All numbers but those of the arrival rate come from one stream: their order decides what is drawn.
     """
     clients = scenario.clients
-    stream = streams.of("demand")
+    stream = streams.create_generator("demand")
     mean_length_s = float(stream.uniform(*clients.life_s))
     rate = clients.load * capacity_units / mean_length_s  # sessions a second; one is a load unit in the mean
-    curve = _arrival_curve(scenario, streams.of("arrivals"))
+    curve = _arrival_curve(scenario, streams.create_generator("arrivals"))
     arrival_count = int(stream.poisson(rate * curve.sum() * ARRIVAL_STEP_US / 1e6))
     established_count = int(stream.poisson(rate * mean_length_s)) if clients.standing else 0
     total = established_count + arrival_count
--- a/stoatgw/emulator/world/scenario.py
+++ b/stoatgw/emulator/world/scenario.py
@@ -122,7 +122,7 @@
     memory_mb: Count = 192
 
 
-class Module(Table, frozen=True):
+class PolicySettings(Table, frozen=True):
     """The settings of the decision policy that a scenario chooses."""
 
     probes: bool = True
@@ -153,7 +153,7 @@
     network: Network = Network()
     discovery: Discovery = Discovery()
     proxies: Proxies = Proxies()
-    module: Module = Module()
+    module: PolicySettings = PolicySettings()
     operators: Operators = Operators()
     faults: tuple[AnyFault, ...] = ()
 
--- a/stoatgw/emulator/world/server_model.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -15,7 +15,7 @@
 
 import numpy as np
 
-from stoatgw.emulator.world.scenario import Module
+from stoatgw.emulator.world.scenario import PolicySettings
 from stoatgw.emulator.world.server_properties import ServerProperties
 from stoatgw.emulator.world.service_accounting import ServiceAccounting
 from stoatgw.emulator.world.setup_decision import SetupDecision, SetupOutcome
@@ -59,7 +59,7 @@
 
     properties: ServerProperties
     latency_objectives_s: tuple[float, ...]  # by class
-    rules: Module
+    rules: PolicySettings
     accounting: ServiceAccounting
     random: np.random.Generator
     now_us: int
--- a/stoatgw/emulator/world/streams.py
+++ b/stoatgw/emulator/world/streams.py
@@ -21,14 +21,14 @@
             raise ValueError("a seed is a whole number from 0")
         self.seed = seed
 
-    def of(self, party: str, index: int = 0) -> np.random.Generator:
+    def create_generator(self, stream_name: str, index: int = 0) -> np.random.Generator:
         """The generator of one party, such as ("server", 3); each call begins it anew."""
-        key = (zlib.crc32(party.encode()), index)
+        key = (zlib.crc32(stream_name.encode()), index)
         return np.random.Generator(np.random.PCG64(np.random.SeedSequence(self.seed, spawn_key=key)))
 
-    def number(self, party: str, index: int = 0) -> int:
+    def derive_seed(self, stream_name: str, index: int = 0) -> int:
         """A seed for a party that has a generator of its own, such as the decision policy."""
-        return int(self.of(party, index).integers(1 << 62))
+        return int(self.create_generator(stream_name, index).integers(1 << 62))
 
 
 class UniformSource:
--- a/stoatgw/emulator/world/warm_up.py
+++ b/stoatgw/emulator/world/warm_up.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from stoatgw.emulator.world.scenario import Module
+from stoatgw.emulator.world.scenario import PolicySettings
 from stoatgw.emulator.world.server_properties import ServerProperties
 
 MIN_WARM_UP_EXCESS_UNITS = 3.0  # load units over the budget that may be due to chance
@@ -18,7 +18,7 @@
 class WarmUpBudget:
     """Counts what one server is sent within the window of the slow-start rule."""
 
-    def __init__(self, properties: ServerProperties, rules: Module) -> None:
+    def __init__(self, properties: ServerProperties, rules: PolicySettings) -> None:
         self._properties = properties
         self._rules = rules
         self._recent_sends: deque[tuple[int, float]] = deque()  # time (us) and expected load units
--- a/stoatgw/emulator/world/world_driver.py
+++ b/stoatgw/emulator/world/world_driver.py
@@ -32,16 +32,16 @@
     def on_connections_dropped(self, server: ServerModel, connections: list[HeldConnection]) -> None:
         """A server closes connections because of its backlog."""
 
-    def disconnect_clients(self, part: float, within_us: int) -> None:
+    def disconnect_clients(self, client_share: float, within_us: int) -> None:
         """A share of the clients with sessions disconnects, and connects again within a time."""
 
     def restart_proxy(self, proxy: int) -> None:
         """Stop a proxy by SIGTERM and start it again."""
 
-    def kill_proxy(self, proxy: int, back_us: int) -> None:
-        """Kill a proxy and start it again after `back_us`."""
+    def kill_proxy(self, proxy: int, restart_delay_us: int) -> None:
+        """Kill a proxy and start it again after `restart_delay_us`."""
 
-    def freeze_proxy(self, proxy: int, for_us: int) -> None:
+    def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
         """Stop a proxy by SIGSTOP for a time."""
 
     def set_zones_partitioned(self, is_partitioned: bool) -> None:
--- a/stoatgw/emulator/world/world_state.py
+++ b/stoatgw/emulator/world/world_state.py
@@ -26,9 +26,9 @@
     """The world of one run. A driver starts it, and from then on carries out what happens to it."""
 
     def __init__(
-        self, scenario: Scenario, seed: int, scheduler: Scheduler, sink: EventSink, accounts_servers: bool = True
+        self, scenario: Scenario, seed: int, scheduler: Scheduler, sink: EventSink, has_server_accounting: bool = True
     ) -> None:
-        """`accounts_servers`: whether the server models record service; on sockets the clients measure it."""
+        """`has_server_accounting`: whether the server models record service; on sockets the clients measure it."""
         self.scenario = scenario
         self.scheduler = scheduler
         self.sink = sink
@@ -38,7 +38,7 @@
         self.end_us = self.start_us + self.length_us
         self.latency_objectives_s = tuple(each.aim_ms / 1e3 for each in scenario.clients.classes)
         self.accounting = self._new_accounting()
-        self._server_accounting = self.accounting if accounts_servers else self._new_accounting()
+        self._server_accounting = self.accounting if has_server_accounting else self._new_accounting()
         self.proxy_names = [f"n{index}" for index in range(scenario.proxies.count)]
         self.servers: dict[str, ServerModel] = {}
         self._kinds = plan_kinds(scenario.fleet.kinds, scenario.fleet.servers)
@@ -141,11 +141,13 @@
         )
         objective_s = min(self.latency_objectives_s)
         server = ServerModel(
-            properties=draw_server_properties(identity, fleet, objective_s, self.streams.of("machine", number)),
+            properties=draw_server_properties(
+                identity, fleet, objective_s, self.streams.create_generator("machine", number)
+            ),
             latency_objectives_s=self.latency_objectives_s,
             rules=self.scenario.module,
             accounting=self._server_accounting,
-            random=self.streams.of("server", number),
+            random=self.streams.create_generator("server", number),
             now_us=self.scheduler.now_us(),
         )
         self.servers[identity.name] = server
@@ -194,7 +196,7 @@
         server.lifecycle = ServerLifecycle.DRAINING
         self.discovery.publish_change(server)
         self.driver.on_server_draining(server)
-        source = UniformSource(self.streams.of("drain", int(server.name.removeprefix("s-"))))
+        source = UniformSource(self.streams.create_generator("drain", int(server.name.removeprefix("s-"))))
         end_us = now_us + int(source.between(*self.scenario.fleet.drain_s) * 1e6)
         self.scheduler.call_at(end_us, partial(self.kill_server, server))
 
--- a/stoatgw/lab/shared_health_checks.py
+++ b/stoatgw/lab/shared_health_checks.py
@@ -16,7 +16,7 @@
 from stoatgw.config.shared_health_checks import SharedHealthChecksConfig
 from stoatgw.controller.messages import HealthCheckCompleted, Message
 from stoatgw.decisions.interface import AttemptStatus
-from stoatgw.emulator.engine.gateway import NotFoundError, answer
+from stoatgw.emulator.engine.gateway import NotFoundError, handle_call
 from stoatgw.emulator.engine.store import Store
 from stoatgw.lab.errors import LabError
 from stoatgw.lab.tables import Value, write_csv
@@ -145,7 +145,7 @@
         """Execute a call on the engine at once."""
         self.calls += 1
         try:
-            response = answer(self.store, path, body, self.now_us)
+            response = handle_call(self.store, path, body, self.now_us)
         except NotFoundError as error:
             return CallFailure(str(error), may_have_run=True)
         self.transferred_bytes += len(orjson.dumps(body)) + len(orjson.dumps(response))
@@ -211,7 +211,7 @@
         """Publish an undecodable report under a proxy's key, as a proxy of another version may do."""
         key = f"{self.membership.scope}/sharing/reports/{self.proxies[index].name}"
         request = etcd_api.transaction([], [etcd_api.put_operation(key, b"{]")])
-        answer(self.store, etcd_api.TRANSACTION_PATH, request, self.now_us)
+        handle_call(self.store, etcd_api.TRANSACTION_PATH, request, self.now_us)
 
 
 def measure(sizes: tuple[int, ...], servers: int, out: Path) -> Iterator[str]:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -30,7 +30,7 @@
 from stoatgw.emulator.world.client import Client
 from stoatgw.emulator.world.events import Event, EventKind, EventSink
 from stoatgw.emulator.world.population import draw_population
-from stoatgw.emulator.world.scenario import Fleet, Module, Scenario, ServerKind
+from stoatgw.emulator.world.scenario import Fleet, PolicySettings, Scenario, ServerKind
 from stoatgw.emulator.world.scenario_file import ScenarioError, load_scenario, parse_scenario
 from stoatgw.emulator.world.server_model import HeldConnection, ServerLifecycle, ServerModel
 from stoatgw.emulator.world.server_properties import ServerIdentity, draw_server_properties
@@ -114,7 +114,7 @@
     rows = Fleet(kinds=(kind,), **(plain | fleet))
     drawn = draw_server_properties(ServerIdentity("s-0000", zone=0, kind=0), rows, 0.1, np.random.default_rng(1))
     accounting = ServiceAccounting(0, 60, (2.0, 1.0))
-    return ServerModel(drawn, (0.1, 0.25), Module(), accounting, np.random.default_rng(2), 0, started)
+    return ServerModel(drawn, (0.1, 0.25), PolicySettings(), accounting, np.random.default_rng(2), 0, started)
 
 
 def fill(server: ServerModel, units: float, count: int = 10) -> None:
--- a/tests/test_maintenance_controller.py
+++ b/tests/test_maintenance_controller.py
@@ -14,7 +14,7 @@
 
 from stoatgw.config.maintenance import MaintenancePlan
 from stoatgw.config.membership import MembershipConfig
-from stoatgw.emulator.engine.gateway import NotFoundError, answer
+from stoatgw.emulator.engine.gateway import NotFoundError, handle_call
 from stoatgw.emulator.engine.store import Store
 from stoatgw.maintenance.controller import MaintenanceController
 from stoatgw.maintenance.keys import MaintenanceKeys
@@ -141,7 +141,7 @@
         if not self.is_call_pending(index) or call is None:
             return
         try:
-            response: Response = answer(self.store, *call, self.now_us)
+            response: Response = handle_call(self.store, *call, self.now_us)
         except NotFoundError as error:
             response = CallFailure(str(error), may_have_run=True)
         self.responses[index] = CallFailure("lost", may_have_run=True) if loses_response else response
@@ -270,7 +270,7 @@
     pause_before_write(world)
     aborted = encode(replace(world.history[-1], is_aborted=True))
     request = etcd_api.transaction([], [etcd_api.put_operation(world.keys.rollout, aborted)])
-    answer(world.store, etcd_api.TRANSACTION_PATH, request, world.now_us)
+    handle_call(world.store, etcd_api.TRANSACTION_PATH, request, world.now_us)
     world.carry_out(0)
     assert world.history[-1].is_aborted
     assert not world.history[-1].machines_out_of_service()
