--- a/stoatgw/emulator/__init__.py
+++ b/stoatgw/emulator/__init__.py
@@ -1,5 +1,5 @@
-"""The world around the proxies as a model: session servers, clients, discovery, network, faults.
+"""Emulates the environment of the proxies: session servers, clients, discovery, network and faults.
 
-It promises the same run, to the byte, for the same scenario and seed in virtual time, and an event log from which the
-rules can be checked without asking the program. What a run means, and how runs compare, is left to `stoatgw.lab`.
+In virtual time, the same scenario and seed give byte-identical runs. The event log of a run contains all that the
+checker needs to verify the rules; it never queries the proxies. `stoatgw.lab` evaluates and compares runs.
 """
--- a/stoatgw/emulator/world/client.py
+++ b/stoatgw/emulator/world/client.py
@@ -1,19 +1,24 @@
-"""One client: its request ids, loads, retries and waits. Pure; both drivers ask it what comes next."""
+"""The behaviour of one client: request ids, loads, retries and delays. Does no I/O; both drivers use it."""
 
 from __future__ import annotations
 
 from stoatgw.emulator.world.population import DRAWS_PER_CLIENT, LOADS_PER_CLIENT, Population
 from stoatgw.emulator.world.scenario import Clients
 
-BACKOFF_S = (1.0, 2.0)  # wait after an attempt and its retries; doubled after each such series
+BACKOFF_S = (1.0, 2.0)  # delay after an attempt and all its retries have failed; doubled after each such series
 MAX_BACKOFF_DOUBLINGS = 3
-RETRY_AFTER_JITTER = 0.25  # a client that respects `BUSY MS` adds up to this share of the wait
+RETRY_AFTER_JITTER = 0.25  # a client that honours `BUSY MS` adds up to this fraction of the delay
 REQUEST_ID_MASK = (1 << 64) - 1
-REQUEST_ID_STEP = 0x9E3779B97F4A7C15  # golden ratio: consecutive ids differ in many bits
+REQUEST_ID_STEP = 0x9E3779B97F4A7C15  # 2**64 / golden ratio: consecutive ids differ in many bits
 
 
 class Client:
-    """The behaviour of one client of a population, from its first connection to its departure."""
+    """One client of a population, from its first connection to its departure.
+
+    Attributes:
+        index: Its position in the arrays of `Population`.
+        is_returning: Whether it has had a session before.
+    """
 
     __slots__ = (
         "_clients",
@@ -29,11 +34,11 @@
 
     def __init__(self, index: int, population: Population, clients: Clients) -> None:
         self.index = index
-        self.is_returning = False  # it had a session before
+        self.is_returning = False
         self._population = population
         self._clients = clients
-        self._retries = 0  # since the first attempt of this series
-        self._failed_series = 0  # attempts with all their retries, since the last success
+        self._retries = 0  # after the first attempt of the current series
+        self._failed_series = 0  # series of an attempt and all its retries, since the last success
         self._requests_made = 0
         self._next_load_index = 0
         self._drawn = 0
@@ -51,13 +56,13 @@
         return self._retries > 0
 
     def next_request_id(self) -> str:
-        """A new id for each connection."""
+        """Return a new request id, for the next connection."""
         self._requests_made += 1
         base = int(self._population.request_id_base[self.index])
         return f"{(base + self._requests_made * REQUEST_ID_STEP) & REQUEST_ID_MASK:016x}"
 
     def next_load(self) -> tuple[float, int]:
-        """Its load from now on, in units, and how long it keeps it (us)."""
+        """Return the next load of the session, in load units, and how long it lasts (us)."""
         index = self._next_load_index % LOADS_PER_CLIENT
         self._next_load_index += 1
         population = self._population
@@ -65,12 +70,16 @@
         return units, int(population.load_intervals_us[self.index, index])
 
     def record_success(self) -> None:
-        """Its session is established: the next failure is the first again."""
+        """Reset the backoff: the session is established."""
         self._retries = 0
         self._failed_series = 0
 
     def delay_after_failure_us(self, retry_after_us: int) -> int:
-        """How long it waits after a rejected or failed attempt; `retry_after_us` is the proxy's advice, or 0."""
+        """Return the delay before the next attempt, after one was rejected or failed.
+
+        Args:
+            retry_after_us: The delay that the proxy asked for in `BUSY MS`, or 0.
+        """
         self._retries += 1
         if self._retries > self._clients.retries:
             self._retries = 0
@@ -82,7 +91,11 @@
         return int(self._draw_between(*self._clients.backoff_ms) * 2 ** (self._retries - 1) * 1000)
 
     def delay_after_disconnect_us(self, within_us: int = 0) -> int:
-        """How long it waits after MOVE or a broken connection; at most `within_us` where a fault gives that."""
+        """Return the delay before reconnecting after MOVE or a broken connection.
+
+        Args:
+            within_us: The maximum delay, where a fault specifies it; 0 for the delay of the scenario.
+        """
         self.is_returning = True
         self._retries = 0
         if within_us:
--- a/stoatgw/emulator/world/client_population.py
+++ b/stoatgw/emulator/world/client_population.py
@@ -1,7 +1,7 @@
-"""The clients of a run and the load balancer before the proxies: who connects when, and what came of it.
+"""The clients of a run and the load balancer in front of the proxies: connections, reconnections and their outcomes.
 
-It is the same for both drivers. A driver says how a session is opened, ended and closed; when a client connects again,
-and what is counted, is here.
+Both drivers share it. A driver implements how a session is opened, finished and disconnected; when a client
+reconnects, and what is counted, is decided here.
 """
 
 from __future__ import annotations
@@ -33,49 +33,57 @@
 
 
 class ClientSession(Protocol):
-    """A client's session at a proxy, as the population sees it."""
+    """What the population needs to know of a client's session at a proxy."""
 
     client: Client
     request_class: int
     requested_us: int
-    is_client_answered: bool  # it has its answer, or waits no longer
+    is_client_answered: bool  # the client has received an answer, or has stopped waiting for one
 
 
 SessionT = TypeVar("SessionT", bound=ClientSession)
 
 
 class ClientPopulation(Generic[SessionT]):
-    """All clients, their open sessions and the counters of the run; the base class of the drivers."""
+    """All clients, their open sessions and the counters of the run; the base class of the drivers.
+
+    Attributes:
+        open_sessions: The session of each client that has one, or is opening one; None for the others.
+        is_admitting: Whether the load balancer sends new clients to a proxy, by proxy.
+        load_balancer_random: Random numbers for selecting proxies and for the delays of their restarts.
+        setup_times_us: The request class, and the time from sending the request to UP, of each established session.
+        counts: The run's counters; the keys are `COUNTERS`.
+    """
 
     def __init__(self, world: WorldState) -> None:
         self.world = world
         clients = world.scenario.clients
         self.clients = [Client(index, world.population, clients) for index in range(len(world.population))]
         self.open_sessions: list[SessionT | None] = [None] * len(self.clients)
-        self.is_admitting: list[bool] = [True] * len(world.proxy_names)  # proxies that new clients are sent to
+        self.is_admitting: list[bool] = [True] * len(world.proxy_names)
         self.load_balancer_random = UniformSource(world.streams.create_generator("front"))
-        self.setup_times_us: list[tuple[int, int]] = []  # class, and time from the client's sending to UP
+        self.setup_times_us: list[tuple[int, int]] = []
         self.counts: dict[str, int] = dict.fromkeys(COUNTERS, 0)
         self._mass_disconnects = 0
 
-    # What a driver implements.
+    # Implemented by the drivers.
 
     def open_session(self, index: int, proxy: int) -> SessionT | None:
-        """Connect a client to a proxy; None if no process listens there."""
+        """Connect a client to a proxy; return None if no process listens there."""
         raise NotImplementedError
 
     def disconnect_client(self, session: SessionT) -> None:
-        """The client closes its side, with or without an answer."""
+        """Close the client's side of the connection, whether it was answered or not."""
         raise NotImplementedError
 
     def finish_session(self, session: SessionT) -> None:
-        """The client no longer needs its session, and asks its server to end it."""
+        """Make the client ask its server to end a session that it no longer needs."""
         raise NotImplementedError
 
     # Connecting.
 
     def schedule_arrivals(self) -> None:
-        """Schedule the first connection of every new client, and the departure of every established one."""
+        """Schedule the first connection of every new client, and the departure of those with a session."""
         world = self.world
         population = world.population
         for index in range(population.established_count, len(population)):
@@ -90,7 +98,7 @@
         self.open_sessions[session.client.index] = session
 
     def connect_client(self, index: int) -> None:
-        """Open a session for a client, unless it has one, or its time or the run is over."""
+        """Open a session for a client, unless it has one, has departed, or the run is over."""
         world = self.world
         if world.scheduler.now_us() >= min(self._departure_us(index), world.end_us):
             return
@@ -109,7 +117,7 @@
         self.open_sessions[index] = session
 
     def _select_proxy(self, zone: int) -> int | None:
-        """A random proxy of the client's zone, or of any zone if none there admits clients."""
+        """Select a random proxy in the client's zone, or in any zone if none in that zone admits clients."""
         admitting = [proxy for proxy, is_admitting in enumerate(self.is_admitting) if is_admitting]
         local = [proxy for proxy in admitting if self.world.proxy_zone(proxy) == zone]
         candidates = local or admitting
@@ -125,7 +133,7 @@
     # Outcomes.
 
     def time_out(self, session: SessionT) -> None:
-        """The client's deadline has passed; does nothing if an answer came."""
+        """Disconnect a client whose deadline has passed, unless it has received an answer."""
         if self._is_unanswered(session):
             session.is_client_answered = True
             self.counts["timed_out"] += 1
@@ -134,14 +142,20 @@
             self._schedule_reconnect(session.client.index, session.client.delay_after_failure_us(0))
 
     def record_unreachable(self, session: SessionT) -> None:
-        """The client could not connect to its proxy."""
+        """Record that a client could not connect to its proxy."""
         if self._is_unanswered(session):
             session.is_client_answered = True
             self.counts["unreached"] += 1
             self._schedule_reconnect(session.client.index, session.client.delay_after_failure_us(0))
 
     def receive_answer(self, session: SessionT, kind: str, retry_after_us: int) -> None:
-        """The proxy's answer has reached the client: up, busy or err."""
+        """Handle the proxy's answer at the client.
+
+        Args:
+            session: The session that was answered.
+            kind: The answer: up, busy or err.
+            retry_after_us: The delay that `BUSY MS` asks for, or 0.
+        """
         if not self._is_unanswered(session):
             return
         client = session.client
@@ -160,16 +174,16 @@
         self._schedule_reconnect(client.index, client.delay_after_failure_us(retry_after_us))
 
     def receive_disconnect(self, session: SessionT, reason: str) -> None:
-        """A connection ended at the client's side; `reason` is moved (by MOVE) or broken."""
+        """Handle the end of a connection at the client; `reason` is moved (by MOVE) or broken."""
         index = session.client.index
         if self.open_sessions[index] is not session:
             return
-        if not session.is_client_answered:  # it broke before any answer
+        if not session.is_client_answered:  # the connection broke before an answer
             session.is_client_answered = True
             self.counts["failed"] += 1
             self._schedule_reconnect(index, session.client.delay_after_failure_us(0))
             return
-        if self.world.scheduler.now_us() < self.world.end_us:  # what comes after is no part of the run
+        if self.world.scheduler.now_us() < self.world.end_us:  # disconnections after the end are not counted
             self.counts["moved" if reason == "moved" else "broken"] += 1
         self._schedule_reconnect(index, session.client.delay_after_disconnect_us())
 
@@ -193,7 +207,7 @@
             self.finish_session(session)
 
     def disconnect_clients(self, client_share: float, within_us: int) -> None:
-        """A share of the clients with sessions disconnects; each connects again within the span."""
+        """Disconnect a share of the clients with sessions; each reconnects within `within_us`."""
         random = UniformSource(self.world.streams.create_generator("drops", self._mass_disconnects))
         self._mass_disconnects += 1
         for index, session in enumerate(self.open_sessions):
--- a/stoatgw/emulator/world/endpoint_publication.py
+++ b/stoatgw/emulator/world/endpoint_publication.py
@@ -1,4 +1,4 @@
-"""Discovery as a model: which endpoint changes each proxy is notified of, and when."""
+"""Models discovery: which endpoint changes each proxy is notified of, and when."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from stoatgw.emulator.world.server_model import ServerLifecycle, ServerModel
 from stoatgw.emulator.world.streams import RandomStreams, UniformSource
 
-BATCH_INTERVAL_US = 250_000  # changes for a proxy are sent in batches
-PROXY_PHASE_STEP_US = 997  # proxies are notified at phases of their own
-PROXY_PHASES = 199
+BATCH_INTERVAL_US = 250_000  # changes for a proxy are sent together, at multiples of this
+PROXY_PHASE_STEP_US = 997  # offset between the notifications of consecutive proxies
+PROXY_PHASES = 199  # offsets repeat after this number of proxies
 
 Notify = Callable[[int, list["EndpointEntry"], bool], None]
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """One endpoint of the list, as discovery publishes it."""
+    """An entry of the endpoint list, as discovery publishes it."""
 
     server: str
     lifecycle: str
@@ -30,14 +30,18 @@
 
 
 def endpoint_entry(server: ServerModel) -> EndpointEntry:
-    """A server's entry; discovery cannot tell a machine that disappeared from a process that ended."""
+    """Return a server's entry; a machine that disappeared is listed as deleted, like a process that ended."""
     lifecycle = ServerLifecycle.GONE if server.lifecycle is ServerLifecycle.VANISHED else server.lifecycle
     properties = server.properties
     return EndpointEntry(properties.name, lifecycle.value, properties.zone, properties.kind, server.started_us)
 
 
 class EndpointPublisher:
-    """Sends every proxy the changes of the endpoint list, in its own time and in order for each server."""
+    """Sends the changes of the endpoint list to each proxy, with random delays but in order for each server.
+
+    Attributes:
+        known_endpoints: The endpoint list that each proxy has been sent, by server name.
+    """
 
     def __init__(
         self,
@@ -47,7 +51,15 @@
         servers: Sequence[ServerModel],
         notify: Notify,
     ) -> None:
-        """`servers` are known to all proxies at the start; `notify` takes proxy, entries and `is_snapshot`."""
+        """Create a publisher.
+
+        Args:
+            scenario: The scenario of the run.
+            scheduler: Schedules the notifications.
+            streams: The random streams of the run.
+            servers: The servers that all proxies know at the start.
+            notify: Called with a proxy, its entries and whether they are a full snapshot.
+        """
         proxies = range(scenario.proxies.count)
         self._delays = scenario.discovery
         self._scheduler = scheduler
@@ -59,7 +71,7 @@
         self.known_endpoints = [{server.name: endpoint_entry(server) for server in servers} for _ in proxies]
 
     def publish_change(self, server: ServerModel) -> None:
-        """Discovery learns the server's state of now, and notifies each proxy later."""
+        """Publish a server's current state: each proxy is notified after a delay of its own."""
         entry = endpoint_entry(server)
         now_us = self._scheduler.now_us()
         delay_range_s = self._delay_range_s(server.lifecycle)
@@ -96,11 +108,11 @@
         self._notify(proxy, entries, False)
 
     def publish_snapshot(self, proxy: int) -> None:
-        """Send a proxy its full list now."""
+        """Send a proxy its full endpoint list now."""
         self._notify(proxy, list(self.known_endpoints[proxy].values()), True)
 
     def silence(self, until_us: int) -> None:
-        """Hold all changes back until a time."""
+        """Delay all changes until `until_us`."""
         self._silent_until_us = max(self._silent_until_us, until_us)
 
 
--- a/stoatgw/emulator/world/events.py
+++ b/stoatgw/emulator/world/events.py
@@ -1,6 +1,6 @@
-"""The event log: what happened in a run, as seen from outside the proxies. One record a line, as JSON arrays.
+"""The event log: what happened in a run, as observed from outside the proxies. Each line is one JSON array.
 
-Both drivers write it; the checker and the tables read it. The order of a record's fields is fixed:
+Both drivers write it; the checker and the lab's tables read it. The order of a record's fields is fixed:
 (time, kind, proxy, request, server, number, detail).
 """
 
@@ -15,31 +15,33 @@
 
 
 class EventKind(StrEnum):
-    """What happened; the comments say what `number` and `detail` hold. The values are those of the stored logs."""
+    """What happened; the comments define `number` and `detail`. The values appear in stored logs."""
 
-    REQUEST_RECEIVED = "taken"  # by the proxy; number: the client's deadline, us; detail: client
-    REQUEST_ANSWERED = "answer"  # the proxy's final answer; detail: up, busy or err; number: retry after, us
-    CLIENT_DISCONNECTED = "gone"  # before any answer
-    ATTEMPT_SENT = "sent"  # the first byte of an attempt's line leaves the proxy; number: attempt
-    ATTEMPT_EXECUTED = "ran"  # the complete line reached the server; number: attempt; detail: expected load units
+    REQUEST_RECEIVED = "taken"  # by a proxy; number: the client's deadline, us; detail: client
+    REQUEST_ANSWERED = "answer"  # the final answer of a proxy; number: retry delay, us; detail: up, busy or err
+    CLIENT_DISCONNECTED = "gone"  # before an answer
+    ATTEMPT_SENT = "sent"  # a proxy sent the first byte of an attempt; number: attempt
+    ATTEMPT_EXECUTED = "ran"  # a server received it completely; number: attempt; detail: expected load units
     ATTEMPT_ENDED = "ended"  # the attempt is no longer in flight; number: attempt; detail: outcome
-    ENDPOINT_NOTIFIED = "told"  # to the proxy; detail: SERVING, DRAINING or DELETED; number: the last start, us
+    ENDPOINT_NOTIFIED = "told"  # to a proxy; number: the server's last start, us; detail: SERVING, DRAINING or DELETED
     SERVER_STARTED = "started"  # in slow start; number: warm capacity, thousandths of a unit; detail: cold_from,cold_us
-    SERVER_RESPONSIVE = "live"  # the server answers from now on
-    SERVER_UNRESPONSIVE = "silent"  # the server answers nothing from now on
-    SERVER_COLLAPSED = "fell"  # a server in slow start was overloaded
+    SERVER_RESPONSIVE = "live"  # the server responds from now on
+    SERVER_UNRESPONSIVE = "silent"  # the server no longer responds
+    SERVER_COLLAPSED = "fell"  # a server in slow start was overloaded and failed
     SESSION_ESTABLISHED = "up"  # detail: client
     SESSION_MIGRATED = "moved"  # the proxy sent MOVE to an established client
     SESSION_BROKEN = "cut"  # the proxy ended an established connection without MOVE
-    SESSION_ENDED = "over"  # an established connection ended for another reason; detail: which
+    SESSION_ENDED = "over"  # an established connection ended for another reason; detail: the reason
     PROXY_STATE_CHANGED = "proxy"  # detail: up, draining, stopped, killed, frozen or thawed
-    FAULT_CHANGED = "fault"  # a fault of the scenario begins or ends; detail: which
-    REQUESTS_LEAKED = "held"  # at the end: number of requests that a proxy still has though all their sockets closed
-    PROGRAM_FAULT = "note"  # a fault inside the program; detail: its text
+    FAULT_CHANGED = (
+        "fault"  # a fault of the scenario began or ended; number: its index; detail: `KIND begins` or `KIND ends`
+    )
+    REQUESTS_LEAKED = "held"  # at the end of the run; number: requests of a proxy whose sockets have all closed
+    PROGRAM_FAULT = "note"  # an internal error of a proxy or driver; detail: its text
 
 
 class Event(msgspec.Struct, array_like=True, frozen=True, gc=False):
-    """One record; `time_us` counts from the start of the run."""
+    """One record of the log; `time_us` is relative to the start of the run."""
 
     time_us: int
     kind: EventKind
@@ -55,14 +57,18 @@
 
 
 class Writer(Protocol):
-    """Where encoded records go, such as an open file."""
+    """Accepts encoded records, such as an open file."""
 
     def write(self, data: bytes, /) -> int:
-        """Append data."""
+        """Append data, and return its length."""
 
 
 class EventSink:
-    """Passes records to its listeners, keeps a digest of them all, and writes them to a file if one is given."""
+    """Passes records to its listeners, hashes them, and writes them to a file if one is given.
+
+    Attributes:
+        count: Number of records.
+    """
 
     def __init__(self, listeners: tuple[Callable[[Event], None], ...] = (), file: Writer | None = None) -> None:
         self._listeners = listeners
@@ -71,7 +77,7 @@
         self.count = 0
 
     def record(self, event: Event) -> None:
-        """Take one record; the caller's order is the log's."""
+        """Append one record to the log."""
         line = _ENCODER.encode(event) + b"\n"
         self._hash.update(line)
         self.count += 1
@@ -82,14 +88,14 @@
 
     @property
     def digest(self) -> str:
-        """SHA-256 of all lines so far, in hexadecimal."""
+        """SHA-256 of the lines recorded until now, in hexadecimal."""
         return self._hash.hexdigest()
 
 
 def decode_event(line: bytes) -> Event:
-    """Read one line of an event log.
+    """Decode one line of an event log.
 
     Raises:
-        msgspec.DecodeError: The line is no record.
+        msgspec.DecodeError: The line is not a record.
     """
     return _DECODER.decode(line)
--- a/stoatgw/emulator/world/faults.py
+++ b/stoatgw/emulator/world/faults.py
@@ -1,4 +1,4 @@
-"""Injects the faults of a scenario into the world, each at its time."""
+"""Injects the faults of a scenario into the world model at their scheduled times."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from stoatgw.emulator.world.streams import UniformSource
 from stoatgw.emulator.world.world_state import WorldState
 
-SNAPSHOT_DELAY_S = 0.5  # after a corrupted endpoint stream
+SNAPSHOT_DELAY_S = 0.5  # from a corrupted endpoint stream to the full snapshot
 
 
 def schedule_faults(world: WorldState) -> None:
-    """Schedule all faults of the scenario; each has a random stream of its own."""
+    """Schedule all faults of the scenario; each uses its own random stream."""
     for number, fault in enumerate(world.scenario.faults):
         begin_us = world.start_us + int(fault.at_s * 1e6)
         world.scheduler.call_at(begin_us, partial(_begin_fault, world, number, fault))
@@ -31,7 +31,7 @@
 
 
 class FaultInjector:
-    """Begins one fault now, and schedules the rest of it."""
+    """Injects one fault, beginning now."""
 
     def __init__(self, world: WorldState, random: UniformSource) -> None:
         self._world = world
@@ -41,8 +41,8 @@
 
     @singledispatchmethod
     def inject(self, fault: tables.Fault) -> float:
-        """Begin a fault; gives how long it lasts, in seconds."""
-        raise TypeError(f"no such fault: {type(fault).__name__}")
+        """Begin a fault, schedule its later steps, and return its duration in seconds."""
+        raise TypeError(f"unknown fault type: {type(fault).__name__}")
 
     # Servers.
 
@@ -114,7 +114,7 @@
 
     @inject.register
     def _inject_rush(self, fault: tables.Rush) -> float:
-        return fault.for_s  # the population was drawn with it
+        return fault.for_s  # `draw_population` has applied it to the arrival rate
 
     # Proxies.
 
@@ -165,7 +165,7 @@
         self._world.scheduler.call_at(self._begin_us + int(wait_s * 1e6), action)
 
     def _draw_servers(self, share: float) -> list[ServerModel]:
-        """A share of the serving servers, in random order."""
+        """Select a share of the serving servers, in random order."""
         serving = self._world.serving_servers()
         shuffled = sorted(serving, key=lambda _: self._random.next())
         return shuffled[: round(share * len(serving))]
--- a/stoatgw/emulator/world/initial_placement.py
+++ b/stoatgw/emulator/world/initial_placement.py
@@ -1,4 +1,4 @@
-"""Where the sessions are that are established before the run starts."""
+"""Places the sessions that are established before the run starts."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from stoatgw.emulator.world.population import Population
 from stoatgw.emulator.world.server_model import ServerModel
 
-GROUP_RUN_LENGTH = 6  # connections of a group that are placed on one server together
+GROUP_RUN_LENGTH = 6  # consecutive connections of a group that are placed on one server
 
 
 def place_initial_sessions(population: Population, servers: Mapping[str, ServerModel], group_cost: float) -> list[str]:
-    """A server for each established client, as a good placement would have them.
+    """Return a server for each established client, balanced by utilization and with groups kept together.
 
-    A few of each group are placed together, on the server that is then the least utilized.
+    Connections of a group are placed in runs of GROUP_RUN_LENGTH, each on the server with the lowest utilization.
     """
     by_group = np.argsort(population.group[: population.established_count], kind="stable").tolist()
     load_units = dict.fromkeys(servers, 0.0)
-    heap = [(0.0, name) for name in servers]  # utilization and server
+    heap = [(0.0, name) for name in servers]  # utilization and server name
     heapq.heapify(heap)
     placements = [""] * population.established_count
     server_name = ""
--- a/stoatgw/emulator/world/network.py
+++ b/stoatgw/emulator/world/network.py
@@ -1,4 +1,4 @@
-"""Latencies of the modelled network, without jitter."""
+"""Models the latencies of the network, without jitter."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class NetworkModel:
-    """One-way latencies between zones, and between clients and proxies; drawn once."""
+    """One-way latencies between zones, and between clients and proxies; drawn once per run."""
 
     def __init__(self, scenario: Scenario, streams: RandomStreams) -> None:
         stream = streams.create_generator("network")
@@ -19,5 +19,5 @@
         self.client_latency_us = int(1000 * stream.uniform(*ranges.client_ms))
 
     def latency_us(self, from_zone: int, to_zone: int) -> int:
-        """One way from a zone to another."""
+        """Return the one-way latency between two zones."""
         return self._zone_latency_us[from_zone][to_zone]
--- a/stoatgw/emulator/world/population.py
+++ b/stoatgw/emulator/world/population.py
@@ -1,7 +1,7 @@
-"""The clients of a run: who wants a session from when to when, and how each behaves. Drawn ahead, as arrays.
+"""Draws the clients of a run before it starts: arrivals, departures and behaviour, as arrays.
 
-Demand is an open loop: it does not wait for answers, so two settings on one seed meet the same demand. A client
-demands service in every second from its arrival to its departure, whether it has a session or not.
+The demand is open-loop: it does not depend on the proxies' answers, so runs with the same seed and different settings
+have the same demand. A client demands service from its arrival to its departure, whether it has a session or not.
 """
 
 from __future__ import annotations
@@ -15,17 +15,33 @@
 from stoatgw.emulator.world.streams import RandomStreams
 
 ARRIVAL_STEP_US = 100_000  # resolution of the arrival rate
-DRAWS_PER_CLIENT = 16  # uniform numbers that each client has for its own choices; used as a ring
-LOADS_PER_CLIENT = 8  # load factors that each client cycles through
+DRAWS_PER_CLIENT = 16  # uniform random numbers for each client's own choices; reused cyclically
+LOADS_PER_CLIENT = 8  # load factors of each client; reused cyclically
 MAX_ID = 1 << 62
 
 
 @dataclass(frozen=True, eq=False)
 class Population:
-    """Arrays over clients, in the order of arrival; the first `established_count` have sessions at the start."""
+    """Arrays over clients, in the order of arrival; the first `established_count` have sessions at the start.
+
+    Attributes:
+        established_count: Number of clients that have sessions at the start.
+        arrival_us: Arrival times, relative to the start of the run.
+        departure_us: Departure times, relative to the start of the run.
+        request_class: Index in the scenario's list of classes.
+        load_units: Mean load of each client's session.
+        zone: Index of the client's zone.
+        group: Id of the affinity group.
+        idempotency_key: The key of a client's requests.
+        request_id_base: The number from which a client derives its request ids.
+        honors_retry_after: Whether the client waits as long as `BUSY MS` asks for.
+        uniform_draws: Random numbers for each client's own choices, DRAWS_PER_CLIENT each.
+        load_factors: Factors of the mean load, LOADS_PER_CLIENT each.
+        load_intervals_us: How long each load factor lasts.
+    """
 
     established_count: int
-    arrival_us: np.ndarray  # from the run's start
+    arrival_us: np.ndarray
     departure_us: np.ndarray
     request_class: np.ndarray
     load_units: np.ndarray
@@ -43,14 +59,14 @@
 
 
 def draw_population(scenario: Scenario, capacity_units: float, streams: RandomStreams) -> Population:
-    """Draw all clients of a run for a fleet of a given warm capacity.
+    """Draw all clients of a run for a fleet with a given warm capacity.
 
-    All numbers but those of the arrival rate come from one stream: their order decides what is drawn.
+    All numbers except those of the arrival rate are drawn from one stream: reordering the draws changes the clients.
     """
     clients = scenario.clients
     stream = streams.create_generator("demand")
     mean_length_s = float(stream.uniform(*clients.life_s))
-    rate = clients.load * capacity_units / mean_length_s  # sessions a second; one is a load unit in the mean
+    rate = clients.load * capacity_units / mean_length_s  # sessions per second; the mean load of a session is one unit
     curve = _arrival_curve(scenario, streams.create_generator("arrivals"))
     arrival_count = int(stream.poisson(rate * curve.sum() * ARRIVAL_STEP_US / 1e6))
     established_count = int(stream.poisson(rate * mean_length_s)) if clients.standing else 0
@@ -80,7 +96,7 @@
 
 
 def _arrival_curve(scenario: Scenario, stream: np.random.Generator) -> np.ndarray:
-    """Relative arrival rate over the run, in steps of ARRIVAL_STEP_US; its mean is 1 but for rushes."""
+    """Return the relative arrival rate in steps of ARRIVAL_STEP_US; its mean is 1 before rushes are applied."""
     steps = max(1, round(scenario.length_s * 1e6 / ARRIVAL_STEP_US))
     time_s = (np.arange(steps) + 0.5) * ARRIVAL_STEP_US / 1e6
     curve = np.ones(steps)
@@ -99,7 +115,7 @@
 
 
 def _draw_arrivals(curve: np.ndarray, count: int, stream: np.random.Generator) -> np.ndarray:
-    """Sorted arrival times that follow a rate, in us from the start."""
+    """Draw sorted arrival times that follow a rate, in us from the start."""
     steps = np.searchsorted(np.cumsum(curve) / curve.sum(), stream.random(count))
     return np.sort(steps * ARRIVAL_STEP_US + stream.integers(0, ARRIVAL_STEP_US, count))
 
@@ -107,18 +123,18 @@
 def _draw_session_lengths(
     clients: Clients, mean_length_s: float, established_count: int, total: int, stream: np.random.Generator
 ) -> np.ndarray:
-    """How long each client wants its session, from the start of the run or its arrival."""
+    """Draw how long each client wants its session, from its arrival or from the start of the run."""
     sigma = clients.life_sigma
     mean_log = np.log(mean_length_s) - sigma**2 / 2
     lengths_s = stream.lognormal(mean_log, sigma, total)
-    # A session found established at a given moment is length-biased, and a share of it has passed.
+    # Sessions observed at a point in time are length-biased, and a part of each has already passed.
     biased_lengths_s = stream.lognormal(mean_log + sigma**2, sigma, established_count)
     lengths_s[:established_count] = biased_lengths_s * stream.random(established_count)
     return lengths_s
 
 
 def _draw_loads(clients: Clients, total: int, stream: np.random.Generator) -> tuple[np.ndarray, np.ndarray]:
-    """Class and load of each client; the mean load is one unit."""
+    """Draw the class and mean load of each client; the mean over all clients is one unit."""
     classes = clients.classes
     shares = np.array([each.share for each in classes])
     loads = np.array([float(stream.uniform(*each.load)) for each in classes])
@@ -130,7 +146,7 @@
 
 
 def _draw_groups(clients: Clients, mean_sessions: float, total: int, stream: np.random.Generator) -> np.ndarray:
-    """The affinity group of each client; sizes follow Zipf's law."""
+    """Draw the affinity group of each client; group sizes follow Zipf's law."""
     group_count = max(1, round(mean_sessions / float(stream.uniform(*clients.group_size))))
     weights = np.arange(1, group_count + 1) ** -clients.group_zipf
     group_ids = stream.integers(1, MAX_ID, group_count)
@@ -140,7 +156,7 @@
 def _draw_load_changes(
     clients: Clients, request_class: np.ndarray, stream: np.random.Generator
 ) -> tuple[np.ndarray, np.ndarray]:
-    """For each client, factors of its load that it cycles through, and how long it keeps each (us)."""
+    """Draw each client's load factors, and how long each of them lasts (us)."""
     shape = (len(request_class), LOADS_PER_CLIENT)
     factors = np.ones(shape, dtype=np.float32)
     intervals_us = np.ones(shape)
--- a/stoatgw/emulator/world/proxy_settings.py
+++ b/stoatgw/emulator/world/proxy_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a scenario's proxies are given."""
+"""Builds the settings of a scenario's proxies."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def proxy_zone(scenario: Scenario, proxy: int) -> int:
-    """The zone in which a proxy runs."""
+    """Return the zone in which a proxy runs."""
     return proxy % len(scenario.fleet.zones)
 
 
 def proxy_settings(scenario: Scenario, proxy: int) -> dict[str, Any]:
-    """The table `settings` of LB_CONFIG; the virtual driver's policies are given the same."""
+    """Return the table `settings` of LB_CONFIG; the virtual driver configures its policies with it as well."""
     return {
         "areas": list(scenario.fleet.zones),
         "kinds": [kind.name for kind in scenario.fleet.kinds],
--- a/stoatgw/emulator/world/scenario_checks.py
+++ b/stoatgw/emulator/world/scenario_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a scenario that no single field's type can express."""
+"""Checks of a scenario that the types of its fields cannot express."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """An invalid field: its path in the file, and what is wrong with it."""
+    """An invalid field: its path in the file, and the reason."""
 
     field: str
     reason: str
 
 
 def find_problems(scenario: Scenario) -> Iterator[Problem]:
-    """All contradictions in a scenario, in the order of its tables."""
+    """Find the invalid and contradictory fields of a scenario, in the order of its tables."""
     yield from _check_ranges("fleet", scenario.fleet)
     yield from _check_ranges("clients", scenario.clients)
     yield from _check_ranges("network", scenario.network)
@@ -32,11 +32,11 @@
     for index, client_class in enumerate(scenario.clients.classes):
         yield from _check_ranges(f"clients.classes.{index}", client_class)
         if client_class.on_time_ms > client_class.deadline_ms:
-            yield Problem(f"clients.classes.{index}.on_time_ms", "is over deadline_ms")
+            yield Problem(f"clients.classes.{index}.on_time_ms", "is greater than deadline_ms")
     yield from _check_share_sum("fleet.kinds", sum(kind.share for kind in scenario.fleet.kinds))
     yield from _check_share_sum("clients.classes", sum(each.share for each in scenario.clients.classes))
     if not scenario.fleet.zones or len(set(scenario.fleet.zones)) != len(scenario.fleet.zones):
-        yield Problem("fleet.zones", "is empty, or names a zone twice")
+        yield Problem("fleet.zones", "is empty, or contains a zone twice")
     for index, fault in enumerate(scenario.faults):
         yield from _check_fault(f"faults.{index}", fault, scenario)
 
@@ -49,15 +49,15 @@
 def _check_fault(field: str, fault: AnyFault, scenario: Scenario) -> Iterator[Problem]:
     yield from _check_ranges(field, fault)
     if fault.at_s >= scenario.length_s:
-        yield Problem(f"{field}.at_s", f"is not before the end at {scenario.length_s:g} s")
+        yield Problem(f"{field}.at_s", f"is not before the end of the run at {scenario.length_s:g} s")
     yield from _check_index(field, "server", fault, scenario.fleet.servers)
     yield from _check_index(field, "proxy", fault, scenario.proxies.count)
     if isinstance(fault, CutZones) and len(scenario.fleet.zones) < 2:
-        yield Problem(f"{field}.kind", "there is one zone only")
+        yield Problem(f"{field}.kind", "requires at least two zones")
 
 
 def _check_index(field: str, name: str, fault: AnyFault, count: int) -> Iterator[Problem]:
-    """A fault's `server` or `proxy`, if it has one, must exist."""
+    """Check that a fault's `server` or `proxy`, if it has one, exists."""
     number = getattr(fault, name, None)
     if number is not None and number >= count:
         yield Problem(f"{field}.{name}", f"there is no {name} {number}, only 0 to {count - 1}")
--- a/stoatgw/emulator/world/scenario_faults.py
+++ b/stoatgw/emulator/world/scenario_faults.py
@@ -1,4 +1,4 @@
-"""The fault tables of a scenario: what goes wrong during a run, and when."""
+"""The fault tables of a scenario: which faults a run has, and when."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 def fault_kind(class_name: str) -> str:
-    """The word for a fault in scenario files and event logs, such as `kill_server` for `KillServer`."""
+    """Return a fault's kind in scenario files and event logs, such as `kill_server` for `KillServer`."""
     return re.sub(r"(?<!^)(?=[A-Z])", "_", class_name).lower()
 
 
 class Fault(Table, frozen=True, tag_field="kind", tag=fault_kind):
-    """Base of the faults: each begins `at_s` seconds after the start of the run."""
+    """Base class of the faults; each begins `at_s` seconds after the start of the run."""
 
     at_s: NotNegative
 
@@ -28,55 +28,55 @@
 
 
 class Shrink(Fault, frozen=True):
-    """The fleet is drained down to a share of its size, spread over a time."""
+    """Servers are drained, spread over `over_s` seconds, until `to` of the serving ones are left."""
 
     to: Share = 0.38
     over_s: NotNegative = 10.0
 
 
 class Grow(Fault, frozen=True):
-    """Servers are added in slow start until the fleet has `to` times its initial size."""
+    """Servers are added in slow start, over `over_s` seconds, until the fleet has `to` times its initial size."""
 
     to: Positive = 1.0
     over_s: NotNegative = 5.0
 
 
 class Drop(Fault, frozen=True):
-    """A share of the clients disconnects and reconnects within a time."""
+    """A share of the clients with sessions disconnects; each reconnects within `within_s` seconds."""
 
     part: Share = 0.56
     within_s: Positive = 0.44
 
 
 class Rush(Fault, frozen=True):
-    """The arrival rate is multiplied for a time."""
+    """The arrival rate is multiplied by `times` for `for_s` seconds."""
 
     for_s: Positive
     times: Positive = 3.0
 
 
 class RestartProxies(Fault, frozen=True):
-    """Planned restarts of all proxies by SIGTERM, one after the other."""
+    """All proxies are restarted by SIGTERM, one after the other."""
 
     every_s: Positive = 4.0
 
 
 class KillProxy(Fault, frozen=True):
-    """A proxy is killed and starts again."""
+    """A proxy is killed and restarts after `back_s` seconds."""
 
     proxy: Index
     back_s: NotNegative = 1.0
 
 
 class FreezeProxy(Fault, frozen=True):
-    """A proxy is stopped by SIGSTOP for a time."""
+    """A proxy is stopped by SIGSTOP for `for_s` seconds."""
 
     proxy: Index
     for_s: Positive = 2.0
 
 
 class KillServer(Fault, frozen=True):
-    """A server process is killed and starts again, in slow start."""
+    """A server process is killed and restarts after `back_s` seconds, in slow start."""
 
     server: Index
     back_s: NotNegative = 2.0
@@ -96,24 +96,24 @@
 
 
 class StaleReports(Fault, frozen=True):
-    """A share of the servers does not refresh its load reports for a time."""
+    """A share of the servers does not refresh its load reports for `for_s` seconds."""
 
     for_s: Positive
     part: Share = 1.0
 
 
 class SilentDiscovery(Fault, frozen=True):
-    """Discovery sends nothing for a time; pending changes are published afterwards."""
+    """Discovery sends nothing for `for_s` seconds; it publishes the pending changes afterwards."""
 
     for_s: Positive
 
 
 class GarbledDiscovery(Fault, frozen=True):
-    """Discovery's streams carry unreadable data and end; full snapshots follow."""
+    """Discovery's streams send malformed data and end; full snapshots follow."""
 
 
 class CutZones(Fault, frozen=True):
-    """Nothing passes between zones for a time."""
+    """Zones cannot reach each other for `for_s` seconds."""
 
     for_s: Positive
 
--- a/stoatgw/emulator/world/scenario_file.py
+++ b/stoatgw/emulator/world/scenario_file.py
@@ -1,4 +1,4 @@
-"""Reads scenario files. An invalid one is a `ScenarioError` of one line that names the file and the field."""
+"""Reads scenario files. An invalid one raises a `ScenarioError`, whose one line names the file and the field."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ScenarioError(ValueError):
-    """A scenario cannot be used; the message names the file and the field."""
+    """An invalid scenario; the message names the file and the field."""
 
 
 def load_scenario(path: Path, changes: tuple[str, ...] = ()) -> Scenario:
@@ -23,7 +23,7 @@
 
     Args:
         path: The TOML file.
-        changes: Overrides as PATH=VALUE, with VALUE as TOML writes it.
+        changes: Overrides as PATH=VALUE, with VALUE in TOML syntax.
 
     Raises:
         ScenarioError: The file or an override is invalid.
@@ -38,10 +38,10 @@
 
 
 def parse_scenario(data: dict[str, Any], source: str) -> Scenario:
-    """Check a parsed TOML document; `source` is its name in error messages.
+    """Convert and check a parsed TOML document; `source` is its name in error messages.
 
     Raises:
-        ScenarioError: A field is unknown, has a wrong value, or contradicts another.
+        ScenarioError: A field is unknown, has an invalid value, or contradicts another.
     """
     known_names = file_field_names([*_all_tables(), RebalanceLimits])
     try:
@@ -54,7 +54,7 @@
 
 
 def _all_tables() -> list[type[Table]]:
-    """`Table` and all its direct and indirect subclasses."""
+    """Return `Table` and all its direct and indirect subclasses."""
     tables: list[type[Table]] = [Table]
     for table in tables:
         tables.extend(table.__subclasses__())
@@ -83,7 +83,7 @@
 
 
 def _descend(container: Any, name: str, path: str) -> Any:
-    """The table or array named `name` in `container`; a missing table is created."""
+    """Return the table or array `name` of `container`; create it as a table if it is missing."""
     if _is_index(container, name):
         return container[int(name)]
     if isinstance(container, dict):
--- a/stoatgw/emulator/world/scenario_types.py
+++ b/stoatgw/emulator/world/scenario_types.py
@@ -1,4 +1,4 @@
-"""The base of all scenario tables, and the constrained types of their fields."""
+"""The base class of all scenario tables, and the constrained types of their fields."""
 
 from __future__ import annotations
 
@@ -16,4 +16,4 @@
 
 
 class Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all scenario tables: unknown fields are rejected."""
+    """Base class of all scenario tables: unknown fields are rejected."""
--- a/stoatgw/emulator/world/scheduler.py
+++ b/stoatgw/emulator/world/scheduler.py
@@ -1,4 +1,4 @@
-"""What the world model needs of time; the drivers implement it."""
+"""The clock and timers of the world model; the drivers implement them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class Scheduler(Protocol):
-    """A clock that runs callbacks, in virtual or in real time. Times are microseconds of one clock."""
+    """Runs callbacks in virtual or in real time. All times are microseconds of the same clock."""
 
     def now_us(self) -> int:
-        """The current time."""
+        """Return the current time."""
 
     def call_at(self, time_us: int, callback: Callable[[], None]) -> None:
-        """Run `callback` at a time; one in the past runs as soon as possible."""
+        """Run `callback` at `time_us`, or as soon as possible if that is in the past."""
--- a/stoatgw/emulator/world/server_model.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -1,8 +1,8 @@
-"""A session server as a model: capacity, load, backlog, messages, reports. Pure; the clock is handed in.
+"""Models a session server: capacity, load, backlog, messages and load reports. Does no I/O and reads no clock.
 
-Loads are in *units*, mean connections; `capacity_units` of them fill a warm server. Utilization is the load over the
-capacity of the moment. While it is over 1, or the server is paused, work piles up (`backlog_s`, seconds of the whole
-machine's time) and messages wait for it. docs/emulator.md derives each formula.
+A load *unit* is the mean load of a connection; `capacity_units` of them fill a warm server. Utilization is the load
+divided by the current capacity. While it is over 1, or the server is paused, a backlog grows (`backlog_s`, in seconds
+of the whole machine's time), and messages wait for it. docs/emulator.md derives each formula.
 """
 
 from __future__ import annotations
@@ -21,49 +21,81 @@
 from stoatgw.emulator.world.setup_decision import SetupDecision, SetupOutcome
 from stoatgw.emulator.world.warm_up import WarmUpBudget, warm_up_fraction
 
-BACKLOG_STEP_US = 25_000  # while there is a backlog, it is integrated in steps of this length
-SHED_TO_UTILIZATION = 0.9  # a server with too much backlog drops its newest connections down to this
-MAX_TAIL_UTILIZATION = 0.98  # from here on the tail of message latencies grows no longer
-UNREPORTED_BACKLOG_S = 0.05  # backlog that does not show in the load report
+BACKLOG_STEP_US = 25_000  # maximum step of the integration while there is a backlog
+SHED_TO_UTILIZATION = 0.9  # a server with too much backlog drops its newest connections until it is below this
+MAX_TAIL_UTILIZATION = 0.98  # at higher utilization the tail of message latencies no longer grows
+UNREPORTED_BACKLOG_S = 0.05  # backlog up to this is not included in the load report
 
 
 class ServerLifecycle(Enum):
-    """The state of a server; the values are those of the endpoint list."""
+    """The state of a server; the values of the first three appear in the endpoint list."""
 
     SERVING = "SERVING"
     DRAINING = "DRAINING"
-    GONE = "DELETED"  # the process ended: connections are refused
-    VANISHED = "vanished"  # the machine disappeared from the network
+    GONE = "DELETED"  # the process has ended: connections are refused
+    VANISHED = "vanished"  # the machine has disappeared from the network
 
     @property
     def is_dead(self) -> bool:
-        """Whether no process answers any more."""
+        """Whether the server no longer responds."""
         return self in (ServerLifecycle.GONE, ServerLifecycle.VANISHED)
 
 
 @dataclass(slots=True, eq=False)
 class HeldConnection:
-    """An established connection on a server."""
+    """An established connection on a server.
+
+    Attributes:
+        connection_id: Its key among the server's connections.
+        request_class: Index in the scenario's list of classes.
+        load_units: Its current load.
+        group: Its affinity group, if any.
+        is_reachable: Whether messages reach its client.
+        on_dropped: Called when the server closes the connection because of its backlog.
+    """
 
     connection_id: str
     request_class: int
     load_units: float
     group: int | None
-    is_reachable: bool = True  # whether messages get through to its client
+    is_reachable: bool = True
     on_dropped: Callable[[], None] | None = None
 
 
 @dataclass(eq=False)
 class ServerModel:
-    """The state of one server, known up to `now_us`; every call hands in a time that is not before that."""
+    """The state of one server at `now_us`; times passed to its methods must not be earlier than that.
+
+    Attributes:
+        properties: The drawn, fixed properties.
+        latency_objectives_s: The latency objectives of messages, by class.
+        rules: The settings of the decision policy, which also limit sends in slow start.
+        accounting: Records the service of the connections.
+        random: The server's random stream.
+        now_us: The time up to which the state is computed.
+        started_us: When its process last started; 0 for a process that has been warm since before the run.
+        lifecycle: Whether it serves, drains or is dead.
+        is_resetting: Whether it resets new sessions, by a fault.
+        has_stale_reports: Whether its load report is not refreshed, by a fault.
+        backlog_s: Queued work, in seconds of the whole machine's time.
+        paused_until_us: Until when it does no work.
+        connections: The established connections, the newest last.
+        groups: Number of connections of each affinity group.
+        total_load_units: Sum of the connections' loads.
+        reachable_counts: Number of connections with a reachable client, by class.
+        setups_in_progress: Number of accepted set-ups that have not finished.
+        warm_up_budget: What it has been sent in slow start.
+        on_collapse: Called when it collapses in slow start.
+        report: The load report that health checks return.
+    """
 
     properties: ServerProperties
-    latency_objectives_s: tuple[float, ...]  # by class
+    latency_objectives_s: tuple[float, ...]
     rules: PolicySettings
     accounting: ServiceAccounting
     random: np.random.Generator
     now_us: int
-    started_us: int = 0  # when its process last started; 0: long ago
+    started_us: int = 0
     lifecycle: ServerLifecycle = ServerLifecycle.SERVING
     is_resetting: bool = False
     has_stale_reports: bool = False
@@ -72,11 +104,11 @@
     connections: dict[str, HeldConnection] = field(default_factory=dict)
     groups: Counter[int] = field(default_factory=Counter)
     total_load_units: float = 0.0
-    reachable_counts: list[int] = field(init=False)  # by class
+    reachable_counts: list[int] = field(init=False)
     setups_in_progress: int = 0
     warm_up_budget: WarmUpBudget = field(init=False)
     on_collapse: Callable[[], None] | None = None
-    report: dict[str, float] = field(init=False)  # what health checks show
+    report: dict[str, float] = field(init=False)
     _pending_reports: list[tuple[int, dict[str, float]]] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -92,7 +124,7 @@
     # Capacity and latency.
 
     def warm_up_fraction(self, now_us: int) -> float:
-        """Share of its full capacity that it has by now."""
+        """Return the fraction of the full capacity that it has at a time."""
         age_us = now_us - self.started_us
         if self.started_us <= 0 or age_us >= self.properties.warm_up_us:
             return 1.0
@@ -100,7 +132,7 @@
 
     @property
     def utilization(self) -> float:
-        """Load over the capacity of the moment; over 1 work piles up."""
+        """Load divided by the current capacity; over 1 the backlog grows."""
         properties = self.properties
         capacity_units = properties.capacity_units * self.warm_up_fraction(self.now_us)
         table_fill = min(1.0, len(self.connections) / properties.max_connections)
@@ -109,18 +141,18 @@
         return load_units / (capacity_units * remaining_share)
 
     def queueing_delay_s(self) -> float:
-        """What a message that comes now waits before its own work begins."""
+        """Return how long a message received now waits before it is processed."""
         return self.backlog_s + max(0, self.paused_until_us - self.now_us) / 1e6
 
     def on_time_fraction(self, latency_objective_s: float, delay_s: float, utilization: float) -> float:
-        """Share of the messages answered within an objective: an exponential tail, as in an M/M/1 queue."""
+        """Return the fraction of messages within a latency objective: an exponential tail, as in an M/M/1 queue."""
         if delay_s >= latency_objective_s:
             return 0.0
         idle_share = 1.0 - min(MAX_TAIL_UTILIZATION, utilization)
         return 1.0 - math.exp(-(latency_objective_s - delay_s) * idle_share / self.properties.message_work_s)
 
     def draw_message_latency_s(self) -> float:
-        """The latency of one message that comes now."""
+        """Draw the latency of a message received now."""
         mean_s = self.properties.message_work_s / (1.0 - min(MAX_TAIL_UTILIZATION, self.utilization))
         return self.queueing_delay_s() + float(self.random.exponential(mean_s))
 
@@ -150,7 +182,14 @@
     # Session set-up.
 
     def handle_open(self, now_us: int, units: float, group: int | None, deadline_us: int) -> SetupDecision:
-        """Decide on a complete session request; `units` is the load that its sender could expect of it."""
+        """Decide on a complete session request.
+
+        Args:
+            now_us: When it was received.
+            units: The load that the proxy could expect of it, which counts against the slow-start budget.
+            group: The affinity group of the session, if any.
+            deadline_us: The deadline of the request.
+        """
         self.advance_to(now_us)
         self._charge_warm_up(now_us, units)
         if self.is_resetting:
@@ -166,21 +205,21 @@
         return SetupDecision(outcome, min(ready_us, max(now_us, deadline_us)))
 
     def finish_setup(self) -> None:
-        """A set-up begun by `handle_open` is over, whatever its outcome."""
+        """End a set-up that `handle_open` began, whatever its outcome."""
         self.setups_in_progress -= 1
 
     def expected_load_units(self, group: int | None) -> float:
-        """What one more connection is expected to cost: itself, and its group if that is new here."""
+        """Return the load expected of one more connection, including its group's if the group is new to the server."""
         if group is None or self.groups[group] > 0:
             return 1.0
         return 1.0 + self.properties.group_cost
 
     def max_warm_up_units(self, now_us: int) -> float:
-        """Load units that may be sent within the window of the slow-start rule."""
+        """Return the load units that may be sent within the window of the slow-start rule."""
         return self.warm_up_budget.max_units(self.warm_up_fraction(now_us))
 
     def _charge_warm_up(self, now_us: int, units: float) -> None:
-        """Every request that reaches a server in slow start counts against its budget, also a rejected one."""
+        """Charge a request to the slow-start budget, even one that is rejected; collapse if it exceeds the budget."""
         fraction = self.warm_up_fraction(now_us)
         if fraction >= 1.0 or self.lifecycle is not ServerLifecycle.SERVING:
             self.warm_up_budget.reset()
@@ -191,7 +230,7 @@
     # Connections.
 
     def add_connection(self, now_us: int, connection: HeldConnection) -> None:
-        """A connection is established."""
+        """Add an established connection."""
         self.advance_to(now_us)
         self.connections[connection.connection_id] = connection
         self.total_load_units += connection.load_units
@@ -201,7 +240,7 @@
             self.groups[connection.group] += 1
 
     def remove_connection(self, now_us: int, connection_id: str) -> HeldConnection | None:
-        """A connection is over; None if it is not held."""
+        """Remove and return a connection; return None if it does not exist."""
         connection = self.connections.get(connection_id)
         if connection is None:
             return None
@@ -217,7 +256,7 @@
         return connection
 
     def update_load(self, now_us: int, connection_id: str, units: float) -> None:
-        """A connection has another load from now on."""
+        """Change the load of a connection, if it exists."""
         connection = self.connections.get(connection_id)
         if connection is not None:
             self.advance_to(now_us)
@@ -225,7 +264,7 @@
             connection.load_units = units
 
     def set_reachable(self, now_us: int, connection_id: str, is_reachable: bool) -> None:
-        """Set whether messages get through to the connection's client."""
+        """Set whether messages reach the connection's client."""
         connection = self.connections.get(connection_id)
         if connection is not None and connection.is_reachable != is_reachable:
             self.advance_to(now_us)
@@ -233,7 +272,7 @@
             self.reachable_counts[connection.request_class] += 1 if is_reachable else -1
 
     def handle_health_check(self, now_us: int) -> int:
-        """A health check arrives; gives when it is answered: without queueing, but not during a pause."""
+        """Handle a health check, and return when it is answered: it skips the queue, but waits for a pause to end."""
         self.advance_to(now_us)
         self.backlog_s += self.properties.health_check_work_s
         return max(now_us, self.paused_until_us) + int(self.properties.health_check_work_s * 1e6)
@@ -241,12 +280,12 @@
     # Faults and reports.
 
     def pause(self, now_us: int, span_us: int) -> None:
-        """Stop all work for a time."""
+        """Stop all work for `span_us`."""
         self.advance_to(now_us)
         self.paused_until_us = max(self.paused_until_us, now_us + span_us)
 
     def start_cold(self, now_us: int) -> None:
-        """The process starts, empty and in slow start."""
+        """Start the process, without connections and in slow start."""
         self.advance_to(now_us)
         self.lifecycle = ServerLifecycle.SERVING
         self.started_us = now_us
@@ -257,7 +296,7 @@
         self.report = self._measure()
 
     def refresh_report(self, now_us: int) -> list[HeldConnection]:
-        """Refresh the report, once an interval; gives the newest connections, dropped for too much backlog."""
+        """Refresh the load report; return the newest connections, to be closed, if the backlog is too long."""
         self.advance_to(now_us)
         while self._pending_reports and self._pending_reports[0][0] <= now_us:
             self.report = self._pending_reports.pop(0)[1]
@@ -268,7 +307,7 @@
         return self._shed_connections(now_us)
 
     def _shed_connections(self, now_us: int) -> list[HeldConnection]:
-        """Select the newest connections, one at least, until the rest fit; the caller closes them."""
+        """Select the newest connections, at least one, until the others fit; the caller closes them."""
         properties = self.properties
         remaining_units = self.total_load_units
         capacity_units = (
@@ -288,7 +327,7 @@
         noise = 1.0 + self.properties.report_noise * float(self.random.standard_normal())
         load = max(0.0, (self.utilization + max(0.0, self.backlog_s - UNREPORTED_BACKLOG_S)) * noise)
         return {
-            "eps": 0.0,  # the model makes no errors
+            "eps": 0.0,  # the model has no application errors
             "inflight": float(len(self.connections) + self.setups_in_progress),
             "util": min(1.0, load),
             "x0": load,
--- a/stoatgw/emulator/world/server_properties.py
+++ b/stoatgw/emulator/world/server_properties.py
@@ -1,4 +1,4 @@
-"""The fixed properties of a modelled session server, drawn once."""
+"""The fixed properties of a modelled session server, drawn when it is created."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerIdentity:
-    """Which server of the fleet it is."""
+    """The properties of a server that are not drawn: its name, its zone and its kind."""
 
     name: str
     zone: int
@@ -22,18 +22,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerProperties:
-    """A server's drawn properties. Work is in seconds of the whole machine's time."""
+    """The properties of a server. Work is in seconds of the whole machine's time."""
 
     name: str
     zone: int
     kind: int
     cores: int
     speed: float
-    capacity_units: float  # load units that fill it while warm
+    capacity_units: float  # capacity in load units when warm
     max_connections: int
     message_work_s: float
-    full_table_overhead: float  # share of the capacity that a full connection table takes
-    group_cost: float  # load units for each group with any connection
+    full_table_overhead: float  # share of the capacity that a full connection table uses
+    group_cost: float  # load units for each group with connections
     max_backlog_s: float
     setup_work_range_s: tuple[float, float]
     health_check_work_s: float
@@ -47,13 +47,13 @@
 def draw_server_properties(
     identity: ServerIdentity, fleet: Fleet, latency_objective_s: float, stream: np.random.Generator
 ) -> ServerProperties:
-    """Draw a server; the order of the fields is the order of the draws.
+    """Draw the properties of a server, in the order of the fields: reordering the draws changes the servers.
 
     Args:
         identity: Its name, zone and kind.
         fleet: The ranges to draw from.
-        latency_objective_s: The shortest of all classes: a message's work is a share of it.
-        stream: The server's own stream.
+        latency_objective_s: The shortest of all classes; the work per message is a share of it.
+        stream: The server's own random stream.
     """
     kind: ServerKind = fleet.kinds[identity.kind]
     uniform = stream.uniform
--- a/stoatgw/emulator/world/service_accounting.py
+++ b/stoatgw/emulator/world/service_accounting.py
@@ -1,4 +1,8 @@
-"""Service: the weight of well-served session seconds over the weight demanded, by second and class."""
+"""Computes service: earned divided by demanded priority weight, by second and class.
+
+A client demands its class's weight in each second from its arrival to its departure. A session earns it, multiplied by
+the fraction of its messages that meet the latency objective.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,11 @@
 
 
 class ServiceAccounting:
-    """Demanded and earned priority weight, in buckets of one second for each class."""
+    """Sums demanded and earned priority weight, by class and second.
+
+    Attributes:
+        demanded_weight: Demanded weight by class and second.
+    """
 
     def __init__(self, start_us: int, length_s: float, priority_weights: tuple[float, ...]) -> None:
         self._start_us = start_us
@@ -22,13 +30,13 @@
         self.demanded_weight = np.zeros((len(priority_weights), self._seconds))
 
     def start_at(self, start_us: int) -> None:
-        """Set when the run begins; to be called before anything is recorded."""
+        """Set the start of the run; must be called before anything is recorded."""
         self._start_us = start_us
 
     def record_service(
         self, from_us: int, to_us: int, request_class: int, connections: float, on_time_share: float
     ) -> None:
-        """Count `connections` of a class as served for a span, with a share of their messages on time."""
+        """Record that connections of a class were served, with a share of their messages on time."""
         if connections <= 0 or on_time_share <= 0.0:
             return
         weight = connections * on_time_share * self._priority_weights[request_class]
@@ -42,13 +50,13 @@
             position_us = bucket_end_us
 
     def record_demand(self, request_classes: np.ndarray, from_us: np.ndarray, to_us: np.ndarray) -> None:
-        """Count the sessions that clients want: arrays of class, begin and end (us of the run's clock)."""
+        """Record the demanded sessions as arrays of class, begin and end (us of the run's clock)."""
         edges_us = np.arange(self._seconds + 1) * US_PER_S
         for request_class, weight in enumerate(self._priority_weights):
             selected = request_classes == request_class
             begin_us = np.clip(from_us[selected] - self._start_us, 0, self._length_us)
             end_us = np.clip(to_us[selected] - self._start_us, 0, self._length_us)
-            # Seconds wanted up to each edge, summed over clients: differences give each bucket.
+            # Demanded seconds up to each edge, summed over clients; their differences are the buckets.
             seconds_before = [(np.clip(edge_us, begin_us, end_us) - begin_us).sum() / 1e6 for edge_us in edges_us]
             self.demanded_weight[request_class] += weight * np.diff(seconds_before)
 
@@ -58,7 +66,10 @@
         return np.array(self._earned)
 
     def service_shares(self) -> dict[str, float]:
-        """Shares from 0 to 1: `whole`, `worst_window` (10 s), `worst_class`, and `class_N` for each class."""
+        """Return the service of the run, of the worst 10 s, of the worst class and of each class, from 0 to 1.
+
+        The keys are `whole`, `worst_window`, `worst_class` and `class_N`.
+        """
         earned = self.earned_weight
         demanded = self.demanded_weight
         windows = [slice(first, first + WINDOW_S) for first in range(max(1, self._seconds - WINDOW_S + 1))]
@@ -72,7 +83,7 @@
 
 
 def compute_goal(service_shares: dict[str, float], penalized_shares: dict[str, float]) -> float:
-    """The operators' figure: weighted service less the penalties; `penalized_shares` are counted from 0 up to 1."""
+    """Return the operators' objective: weighted service minus penalties; `penalized_shares` are capped at 1."""
     total = sum(SHARE_WEIGHTS[name] * service_shares[name] for name in SHARE_WEIGHTS)
     return total - sum(rate * min(1.0, penalized_shares.get(name, 0.0)) for name, rate in PENALTY_RATES.items())
 
--- a/stoatgw/emulator/world/setup_decision.py
+++ b/stoatgw/emulator/world/setup_decision.py
@@ -1,4 +1,4 @@
-"""What a server answers to a session request."""
+"""The decision of a server on a session request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class SetupOutcome(StrEnum):
-    """What a server does with a session request."""
+    """The outcome of a session request at a server."""
 
     ESTABLISHED = "up"
     BUSY = "busy"
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class SetupDecision:
-    """What a server does with a session request, and when."""
+    """The outcome of a session request at a server, and when the server answers."""
 
     outcome: SetupOutcome
     decided_at_us: int
--- a/stoatgw/emulator/world/warm_up.py
+++ b/stoatgw/emulator/world/warm_up.py
@@ -1,4 +1,4 @@
-"""Slow start: how much may be sent to a server that is warming up, before it collapses."""
+"""Slow start: how much load may be sent to a server that is warming up before it collapses."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from stoatgw.emulator.world.scenario import PolicySettings
 from stoatgw.emulator.world.server_properties import ServerProperties
 
-MIN_WARM_UP_EXCESS_UNITS = 3.0  # load units over the budget that may be due to chance
+MIN_WARM_UP_EXCESS_UNITS = 3.0  # tolerance over the budget, for random variation
 
 
 def warm_up_fraction(age_us: int, initial_fraction: float, warm_up_us: int) -> float:
-    """The share of its capacity that a server has at an age: it rises linearly to 1."""
+    """Return the fraction of its capacity that a server has at an age; it rises linearly to 1."""
     return initial_fraction + (1.0 - initial_fraction) * age_us / warm_up_us
 
 
 class WarmUpBudget:
-    """Counts what one server is sent within the window of the slow-start rule."""
+    """Counts the load units sent to one server within the window of the slow-start rule."""
 
     def __init__(self, properties: ServerProperties, rules: PolicySettings) -> None:
         self._properties = properties
@@ -25,18 +25,18 @@
         self._window_us = rules.fall_ms * 1000
 
     def max_units(self, fraction: float) -> float:
-        """Load units that may be sent in a window at a warm-up fraction."""
+        """Return the load units that may be sent in a window at a warm-up fraction."""
         properties = self._properties
         budget = self._rules.fall_multiple * fraction * properties.capacity_units
         budget = budget * self._rules.fall_ms * 1000 / properties.warm_up_us
         return budget + MIN_WARM_UP_EXCESS_UNITS
 
     def spent_units(self, now_us: int) -> float:
-        """Load units sent within the window that ends now."""
+        """Return the load units sent within the window that ends now."""
         return sum(units for time_us, units in self._recent_sends if time_us > now_us - self._window_us)
 
     def is_exceeded_by(self, now_us: int, units: float, fraction: float) -> bool:
-        """Count `units` as sent now; whether that is more than the server can take."""
+        """Count `units` as sent now, and report whether the budget of the window is exceeded."""
         sends = self._recent_sends
         sends.append((now_us, units))
         while sends[0][0] <= now_us - self._window_us:
@@ -44,5 +44,5 @@
         return sum(each for _, each in sends) > self.max_units(fraction)
 
     def reset(self) -> None:
-        """Forget what was sent."""
+        """Discard all counted sends."""
         self._recent_sends.clear()
--- a/stoatgw/emulator/world/world_state.py
+++ b/stoatgw/emulator/world/world_state.py
@@ -1,4 +1,4 @@
-"""The world that both drivers share: servers, discovery, network, demand, accounting and the event log."""
+"""The state of the world model, for both drivers: servers, discovery, network, demand, accounting and event log."""
 
 from __future__ import annotations
 
@@ -18,17 +18,33 @@
 from stoatgw.emulator.world.streams import RandomStreams, UniformSource
 from stoatgw.emulator.world.world_driver import WorldDriver
 
-REPORT_PHASES = 97  # servers refresh their reports at phases of their own
-MIN_PLANNED_KINDS = 16
+REPORT_PHASES = 97  # servers refresh their reports at this number of different offsets
+MIN_PLANNED_KINDS = 16  # length of the plan for small fleets, to which servers may be added
 
 
 class WorldState:
-    """The world of one run. A driver starts it, and from then on carries out what happens to it."""
+    """The world of one run. A driver calls `start`, and then applies the changes that the world requests.
+
+    Attributes:
+        start_us: When the run starts; set again by `begin_measurement`.
+        end_us: When the run ends.
+        servers: All servers that were ever created, by name.
+        initial_servers: The names of the servers at the start.
+        is_partitioned: Whether zones cannot reach each other.
+    """
 
     def __init__(
         self, scenario: Scenario, seed: int, scheduler: Scheduler, sink: EventSink, has_server_accounting: bool = True
     ) -> None:
-        """`has_server_accounting`: whether the server models record service; on sockets the clients measure it."""
+        """Create the servers and draw the clients.
+
+        Args:
+            scenario: The scenario of the run.
+            seed: The seed of all random streams.
+            scheduler: The clock and timers of the driver.
+            sink: Receives the event log.
+            has_server_accounting: Whether the server models record service; with sockets the clients measure it.
+        """
         self.scenario = scenario
         self.scheduler = scheduler
         self.sink = sink
@@ -65,20 +81,20 @@
         """The driver of the run.
 
         Raises:
-            RuntimeError: The world was not started.
+            RuntimeError: `start` has not been called.
         """
         if self._driver is None:
-            raise RuntimeError("the world has no driver yet")
+            raise RuntimeError("the world model has not been started")
         return self._driver
 
     def start(self, driver: WorldDriver) -> None:
-        """Attach the driver and begin the servers' periodic work."""
+        """Attach the driver, and schedule the servers' load reports."""
         self._driver = driver
         for server in self.servers.values():
             self._schedule_reports(server)
 
     def begin_measurement(self) -> None:
-        """The run itself starts now: arrivals, faults and service count from here."""
+        """Set the start of the run to now: arrivals, faults and service are relative to it."""
         self.start_us = self.scheduler.now_us()
         self.end_us = self.start_us + self.length_us
         self.accounting.start_at(self.start_us)
@@ -96,12 +112,12 @@
         number: int = 0,
         detail: str = "",
     ) -> None:
-        """Record an event of now."""
+        """Record an event at the current time."""
         time_us = self.scheduler.now_us() - self.start_us
         self.sink.record(Event(time_us, kind, proxy, request_id, server, number, detail))
 
     def log_notified(self, proxy: int, entries: list[EndpointEntry]) -> None:
-        """Record what a proxy was notified of; starts before the run count as 0."""
+        """Record the entries that a proxy was notified of; the start of a server that was warm at the start is 0."""
         for entry in entries:
             self.log(
                 EventKind.ENDPOINT_NOTIFIED,
@@ -115,20 +131,20 @@
 
     @property
     def client_latency_us(self) -> int:
-        """One way between a client and a proxy."""
+        """One-way latency between a client and a proxy."""
         return self.network.client_latency_us
 
     def one_way_latency_us(self, zone: int, server: ServerModel) -> int:
-        """One way between a proxy's zone and a server, without jitter."""
+        """Return the one-way latency between a proxy's zone and a server, without jitter."""
         return self.network.latency_us(zone, server.properties.zone)
 
     def is_unreachable(self, zone: int, server: ServerModel) -> bool:
-        """Whether nothing passes between a proxy's zone and a server."""
+        """Report whether a server cannot be reached from a proxy's zone."""
         is_cut_off = self.is_partitioned and zone != server.properties.zone
         return server.lifecycle is ServerLifecycle.VANISHED or is_cut_off
 
     def proxy_zone(self, proxy: int) -> int:
-        """The zone of a proxy."""
+        """Return the zone of a proxy."""
         return proxy_zone(self.scenario, proxy)
 
     # Servers.
@@ -179,7 +195,7 @@
             self.scheduler.call_at(next_us, partial(self._refresh_report, server))
 
     def serving_servers(self) -> list[ServerModel]:
-        """All servers that are up and not draining."""
+        """Return all servers that are up and not draining."""
         return [server for server in self.servers.values() if server.lifecycle is ServerLifecycle.SERVING]
 
     def _collapse(self, server: ServerModel) -> None:
@@ -188,7 +204,7 @@
             self.kill_server(server)
 
     def drain_server(self, server: ServerModel) -> None:
-        """It migrates all sessions at once, rejects new ones, and ends some seconds later."""
+        """Drain a server: it migrates all sessions at once, rejects new ones, and ends after a delay."""
         if server.lifecycle is not ServerLifecycle.SERVING:
             return
         now_us = self.scheduler.now_us()
@@ -201,7 +217,7 @@
         self.scheduler.call_at(end_us, partial(self.kill_server, server))
 
     def kill_server(self, server: ServerModel) -> None:
-        """The process ends: its connections are reset, and new ones are refused."""
+        """End a server process: its connections are reset, and new ones are refused."""
         if server.lifecycle.is_dead:
             return
         self._mark_dead(server, ServerLifecycle.GONE)
@@ -209,7 +225,7 @@
         self.discovery.publish_change(server)
 
     def vanish_server(self, server: ServerModel) -> None:
-        """The machine disappears from the network."""
+        """Remove a server's machine from the network."""
         if server.lifecycle.is_dead:
             return
         self._mark_dead(server, ServerLifecycle.VANISHED)
@@ -222,7 +238,7 @@
         self.log(EventKind.SERVER_UNRESPONSIVE, server=server.name)
 
     def restart_server(self, server: ServerModel) -> None:
-        """A killed process starts again, in slow start."""
+        """Restart a process that has ended, in slow start."""
         if server.lifecycle is ServerLifecycle.GONE:
             self._start_cold(server)
             self.log(EventKind.SERVER_RESPONSIVE, server=server.name)
@@ -230,7 +246,7 @@
             self.discovery.publish_change(server)
 
     def add_server(self) -> None:
-        """A new server joins the fleet, in slow start."""
+        """Add a new server to the fleet, in slow start."""
         server = self._create_server()
         self._start_cold(server)
         self._schedule_reports(server)
@@ -240,27 +256,27 @@
     def _notify_driver(self, proxy: int, entries: list[EndpointEntry], is_snapshot: bool) -> None:
         self.driver.publish_endpoints(proxy, entries, is_snapshot)
 
-    # The state at the start.
+    # Sessions at the start.
 
     def initial_placements(self) -> list[str]:
-        """The server of each client that has a session at the start."""
+        """Return the server of each client that has a session at the start."""
         return place_initial_sessions(self.population, self.servers, self.scenario.fleet.group_cost)
 
 
 def drop_connections(connections: list[HeldConnection]) -> None:
-    """Tell the owner of each connection that its server closed it."""
+    """Notify the owner of each connection that its server has closed it."""
     for connection in connections:
         if connection.on_dropped is not None:
             connection.on_dropped()
 
 
 def plan_kinds(kinds: tuple[ServerKind, ...], server_count: int) -> list[int]:
-    """Kinds in an order in which any first part of the fleet has about the shares asked for."""
+    """Order the kinds so that each prefix of the fleet has approximately the configured shares."""
     counts = [0] * len(kinds)
     plan = []
     for planned in range(1, max(server_count, MIN_PLANNED_KINDS) + 1):
         deficits = [kind.share * planned - count for kind, count in zip(kinds, counts, strict=True)]
-        selected = deficits.index(max(deficits))  # the first of equals
+        selected = deficits.index(max(deficits))  # the first if several are equal
         counts[selected] += 1
         plan.append(selected)
     return plan
