--- a/stoatgw/emulator/checker/__init__.py
+++ b/stoatgw/emulator/checker/__init__.py
@@ -1,5 +1,5 @@
-"""The checker: judges a run by its event log alone.
+"""The checker: verifies a run from its event log alone.
 
-It holds the rules that a proxy promises and finds the events that break them, in virtual and in loopback runs alike.
-It asks no program for its own opinion. Writing the log is left to the drivers.
+It defines the rules that proxies must follow, and finds the events that violate them, in virtual and loopback runs
+alike. It never queries the programs that it checks. The drivers write the log.
 """
--- a/stoatgw/emulator/checker/checker.py
+++ b/stoatgw/emulator/checker/checker.py
@@ -1,6 +1,6 @@
-"""Checks the rules on an event log. Pure: records go in, violations come out.
+"""Checks an event log against the rules. Does no I/O: it consumes records and returns violations.
 
-Whoever wrote the log (virtual time, loopback, a later protocol), the same checker judges it.
+The same checker is used for every driver, and for any later protocol.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from stoatgw.emulator.world.events import Event, EventKind
 
 NEVER_US = 1 << 62
-FREEZE_RECOVERY_US = 10_000_000  # answers due so long after a freeze may still be late because of it
+FREEZE_RECOVERY_US = 10_000_000  # an answer due up to this long after a freeze may be late because of it
 
 
 @dataclass(slots=True)
@@ -26,13 +26,18 @@
 
 
 class Checker:
-    """Feed it every record in order, then call `finish`; `violations` has what it found."""
+    """Checks one run: call `feed` with each record in order, then `finish`.
+
+    Attributes:
+        violations: The violations found until now.
+        counts: Number of records by kind.
+    """
 
     def __init__(self, limits: CheckerLimits) -> None:
         self._limits = limits
         self._requests: dict[str, _RequestRecord] = {}
-        self._attempts: dict[str, dict[int, str]] = {}  # servers of attempts in flight, by request and attempt
-        self._draining_since_us: dict[tuple[str, str], int] = {}  # when a proxy was notified, by proxy and server
+        self._attempts: dict[str, dict[int, str]] = {}  # servers of the attempts in flight, by request and attempt
+        self._draining_since_us: dict[tuple[str, str], int] = {}  # when notified of a drain, by proxy and server
         self._slow_start = SlowStartAudit(limits)
         self._unresponsive: set[str] = set()
         self._freezes: dict[str, list[tuple[int, int]]] = {}  # begin and end, by proxy
@@ -57,7 +62,7 @@
             EventKind.PROGRAM_FAULT: self._on_program_fault,
         }
         self.violations: list[Violation] = []
-        self.counts: dict[str, int] = {}  # records by kind
+        self.counts: dict[str, int] = {}
 
     def feed(self, event: Event) -> None:
         """Check one record."""
@@ -67,7 +72,11 @@
         self.counts[event.kind.value] = self.counts.get(event.kind.value, 0) + 1
 
     def finish(self, time_us: int) -> list[Violation]:
-        """The log is over at `time_us`: a request that was owed an answer by then and has none was forgotten."""
+        """Report the requests that are still unanswered at the end of the log, and return all violations.
+
+        Args:
+            time_us: When the log ends; only requests that were due before are reported.
+        """
         for request_id, request in self._requests.items():
             is_due = time_us - request.deadline_us - self._limits.answer_grace_us > 0
             if not is_due or request.is_answered or request.needs_no_answer:
@@ -102,7 +111,7 @@
         if late_us > self._limits.answer_grace_us and not was_frozen:
             self._report(Rule.ANSWER_IN_TIME, event, f"{late_us / 1000:.1f} ms after the client's time was up")
         if event.detail != "up":
-            # The record stays, so that a second answer is noticed; a proxy that ends owes it nothing more.
+            # The record is kept to detect a second answer. A proxy that stops need not answer it again.
             request.needs_no_answer = True
 
     def _on_client_disconnected(self, event: Event) -> None:
@@ -141,7 +150,7 @@
         key = (event.proxy, event.server)
         if event.detail == "SERVING":
             self._draining_since_us.pop(key, None)
-            self._slow_start.notify_start(event)
+            self._slow_start.record_notified_start(event)
         else:
             self._draining_since_us.setdefault(key, event.time_us)
 
@@ -163,7 +172,7 @@
     # Sessions.
 
     def _on_session_established(self, event: Event) -> None:
-        established = _RequestRecord(NEVER_US, event.proxy, is_answered=True)  # before the run, unless received in it
+        established = _RequestRecord(NEVER_US, event.proxy, is_answered=True)  # used if established before the run
         request = self._requests.setdefault(event.request_id, established)
         request.server = event.server
 
@@ -192,7 +201,7 @@
                 self._remove_proxy(event.proxy)
 
     def _report_unanswered(self, event: Event) -> None:
-        """A proxy that stops in good order owes all its clients an answer."""
+        """Report the unanswered requests of a proxy that was stopped as planned."""
         for request_id, request in self._requests.items():
             is_owed = not request.is_answered and not request.needs_no_answer
             if request.proxy == event.proxy and is_owed:
@@ -209,7 +218,7 @@
             del self._draining_since_us[key]
 
     def _was_frozen(self, proxy: str, from_us: int, to_us: int) -> bool:
-        """Whether a freeze of the proxy may have delayed what was due between two times."""
+        """Report whether a freeze of the proxy may have delayed an answer due between two times."""
         freezes = self._freezes.get(proxy, ())
         return any(begin_us <= to_us and end_us >= from_us - FREEZE_RECOVERY_US for begin_us, end_us in freezes)
 
--- a/stoatgw/emulator/checker/rules.py
+++ b/stoatgw/emulator/checker/rules.py
@@ -1,4 +1,4 @@
-"""The rules, their limits, and what a broken one looks like."""
+"""The rules, their limits, and the violations that the checker reports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Rule(StrEnum):
-    """What a proxy promises; the values are those of the stored results."""
+    """The rules that a proxy must follow; the values appear in stored results."""
 
     SINGLE_ANSWER = "one final answer"
     ANSWER_IN_TIME = "an answer in time"
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule: which, when (us from the run's start), and by whom."""
+    """A violated rule, with the proxy, the request and the server; `time_us` is relative to the start of the run."""
 
     rule: Rule
     time_us: int
@@ -39,16 +39,25 @@
 
 
 def default_excess_units(budget_units: float) -> float:
-    """Load units over a slow-start budget that may be due to chance, whatever the budget."""
+    """Return the tolerance over a slow-start budget for random variation, in load units; the same for any budget."""
     return MIN_WARM_UP_EXCESS_UNITS
 
 
 @dataclass(frozen=True, slots=True)
 class CheckerLimits:
-    """What the rules are measured by."""
+    """The limits of the rules.
+
+    Attributes:
+        drain_grace_us: How long a proxy may still send to a server after it was notified of the server's drain.
+        slow_start_multiple: Allowed rate, as a multiple of the rate that would fill the server's current capacity
+            within its warm-up time.
+        slow_start_window_us: The window in which sends are counted.
+        allowed_excess_units: Returns the tolerance over a budget, both in load units.
+        answer_grace_us: How long after the deadline an answer is still in time.
+    """
 
     drain_grace_us: int
-    slow_start_multiple: float  # of the even rate at which a server could warm up
+    slow_start_multiple: float
     slow_start_window_us: int
-    allowed_excess_units: Callable[[float], float] = default_excess_units  # of a budget in load units
-    answer_grace_us: int = 50_000  # after the deadline
+    allowed_excess_units: Callable[[float], float] = default_excess_units
+    answer_grace_us: int = 50_000
--- a/stoatgw/emulator/checker/slow_start.py
+++ b/stoatgw/emulator/checker/slow_start.py
@@ -1,4 +1,4 @@
-"""The slow-start rule: what all proxies together may send to a server while it warms up."""
+"""The slow-start rule: how much all proxies together may send to a server while it warms up."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from stoatgw.emulator.world.events import Event
 from stoatgw.emulator.world.warm_up import warm_up_fraction
 
-DEFAULT_UNITS = 1.0  # of an attempt whose record gives none
+DEFAULT_UNITS = 1.0  # load of an attempt whose record contains none
 
 
 @dataclass(frozen=True, slots=True)
@@ -21,18 +21,18 @@
 
 @dataclass(slots=True)
 class _WarmingServer:
-    """A server since its last start."""
+    """A server in slow start, since its last start."""
 
     started_us: int
     capacity_units: float
     initial_fraction: float
     warm_up_us: int
-    sends: deque[_Send] = field(default_factory=deque)  # within the window
+    sends: deque[_Send] = field(default_factory=deque)  # within the window of the rule
     is_over_budget: bool = False
 
 
 class SlowStartAudit:
-    """Follows the servers in slow start; each method gives why the rule is broken, or None."""
+    """Tracks the servers in slow start, and detects violations of the rule."""
 
     def __init__(self, limits: CheckerLimits) -> None:
         self._limits = limits
@@ -40,18 +40,18 @@
         self._notified_start_us: dict[tuple[str, str], int] = {}  # by proxy and server
 
     def start_server(self, event: Event) -> None:
-        """A server starts, in slow start."""
+        """Record the start of a server, in slow start."""
         initial_fraction, warm_up_us = event.detail.split(",")
         self._servers[event.server] = _WarmingServer(
             event.time_us, event.number / 1000, float(initial_fraction), int(warm_up_us)
         )
 
-    def notify_start(self, event: Event) -> None:
-        """A proxy was notified of a serving server and its last start."""
+    def record_notified_start(self, event: Event) -> None:
+        """Record that a proxy was notified of a serving server and its last start."""
         self._notified_start_us[event.proxy, event.server] = event.number
 
     def record_attempt(self, event: Event) -> str | None:
-        """An attempt reached a server."""
+        """Record an attempt that reached a server; return the violation of the rule, if any."""
         server = self._servers.get(event.server)
         if server is None or server.is_over_budget:
             return None
@@ -71,12 +71,12 @@
             return None
         server.is_over_budget = True
         notified_units = sum(send.units for send in sends if send.by_notified_proxy)
-        if notified_units < total_units * 2 / 3:  # most came from proxies that could not know of the start
+        if notified_units < total_units * 2 / 3:  # over a third came from proxies not yet notified of the start
             return None
         return f"sent {total_units:.1f} units within the window, {max_units:.1f} are allowed"
 
     def record_collapse(self, event: Event) -> str | None:
-        """A server collapsed."""
+        """Record the collapse of a server; return the violation if the log does not explain it."""
         server = self._servers.get(event.server)
         if server is None or server.is_over_budget:
             return None
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker can fail: for each rule, a policy or a proxy that is broken on purpose, and a log written by hand."""
+"""The checker detects violations of each rule, in runs of deliberately faulty policies and proxies and in written logs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class FixedServerPolicy:
-    """Sends every request to one server, chosen by `pick` from the list, whatever its state."""
+    """Sends every request to the server that `pick` chooses from the endpoint list, regardless of its state."""
 
     def __init__(self, pick: Any) -> None:
         self._pick = pick
@@ -49,10 +49,10 @@
 
 def always_send_to(pick: Any) -> Any:
     def policy(_: WorldState) -> PolicyFactory:
-        def make(settings: api.Settings, seed: int) -> DecisionPolicy:
+        def create_policy(settings: api.Settings, seed: int) -> DecisionPolicy:
             return FixedServerPolicy(pick)
 
-        return make
+        return create_policy
 
     return policy
 
@@ -65,24 +65,24 @@
 
 
 def test_a_proxy_that_answers_twice_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    answer = Session._answer
+    original_answer = Session._answer
 
-    def twice(self: Session, kind: str, advice_us: int) -> None:
-        answer(self, kind, advice_us)
-        answer(self, kind, advice_us)
+    def answer_twice(self: Session, kind: str, advice_us: int) -> None:
+        original_answer(self, kind, advice_us)
+        original_answer(self, kind, advice_us)
 
-    monkeypatch.setattr(Session, "_answer", twice)
+    monkeypatch.setattr(Session, "_answer", answer_twice)
     assert Rule.SINGLE_ANSWER in rules_broken("calm")
 
 
 def test_a_proxy_that_answers_late_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    refuse = Session.reject
+    original_reject = Session.reject
 
-    def late(self: Session, advice_us: int) -> None:
+    def reject_late(self: Session, advice_us: int) -> None:
         at_us = self._scheduler.now_us() + 2_500_000
-        self._scheduler.call_at(at_us, lambda: refuse(self, advice_us))
+        self._scheduler.call_at(at_us, lambda: original_reject(self, advice_us))
 
-    monkeypatch.setattr(Session, "reject", late)
+    monkeypatch.setattr(Session, "reject", reject_late)
     monkeypatch.setattr("stoatgw.emulator.virtual.driver.VirtualDriver.time_out", lambda self, session: None)
     assert Rule.ANSWER_IN_TIME in rules_broken("shrink")
 
@@ -95,16 +95,16 @@
             request.begin_attempt(action.server, self._decisions.now_us)
             request.handler.start_attempt(attempt, action.server, request.deadline_us)
 
-    begin = Session.start_attempt
+    original_start_attempt = Session.start_attempt
 
-    def both(self: Session, attempt: int, server: str, cut_at_us: int) -> None:
+    def start_second_attempt(self: Session, attempt: int, server: str, cut_at_us: int) -> None:
         first_server = self.server
-        begin(self, attempt, server, cut_at_us)
-        if first_server is not None:  # the first goes on beside the second
+        original_start_attempt(self, attempt, server, cut_at_us)
+        if first_server is not None:  # the first attempt continues beside the second
             self._world.log(EventKind.ATTEMPT_SENT, self.proxy.name, self.name, first_server.name, attempt - 1)
 
     monkeypatch.setattr(AttemptTracker, "perform_send", send_again)
-    monkeypatch.setattr(Session, "start_attempt", both)
+    monkeypatch.setattr(Session, "start_attempt", start_second_attempt)
     assert Rule.SINGLE_ATTEMPT in rules_broken("calm")
 
 
@@ -115,7 +115,7 @@
             (name for name, entry in listed.items() if entry.lifecycle is api.Lifecycle.DRAINING), "s-0000"
         )
     )
-    # A server that drains for so long that it still answers when the grace is over.
+    # Draining takes longer than the grace period, so the server still responds after it.
     assert Rule.NO_SEND_TO_DRAINING in rules_broken("shrink", "fleet.drain_s=[20, 30]", policy=draining)
 
 
@@ -130,10 +130,10 @@
 
 
 def test_a_proxy_that_leaks_requests_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    def keep(self: RequestTable, request: RequestState) -> None:
+    def keep_request(self: RequestTable, request: RequestState) -> None:
         pass
 
-    monkeypatch.setattr(RequestTable, "remove_if_complete", keep)
+    monkeypatch.setattr(RequestTable, "remove_if_complete", keep_request)
     assert Rule.NO_LEAKED_REQUEST in rules_broken("calm")
 
 
@@ -143,10 +143,10 @@
 
     found = rules_broken("calm", policy=always_send_to(fail))
     assert Rule.NO_PROGRAM_FAULT in found
-    assert Rule.SINGLE_ANSWER not in found  # the controller answers all the same
+    assert Rule.SINGLE_ANSWER not in found  # the controller still answers the requests
 
 
-# Logs written by hand.
+# Logs that are written out here.
 
 LIMITS = CheckerLimits(drain_grace_us=3_000_000, slow_start_multiple=4.0, slow_start_window_us=1_000_000)
 
@@ -158,24 +158,24 @@
     return [each.rule for each in checker.finish(end_us)]
 
 
-TAKEN = (0, EventKind.REQUEST_RECEIVED, "n0", "r", "", 2_000_000)
+RECEIVED = (0, EventKind.REQUEST_RECEIVED, "n0", "r", "", 2_000_000)
 BUSY = (5, EventKind.REQUEST_ANSWERED, "n0", "r", "", 0, "busy")
 
 
 @pytest.mark.parametrize(
     ("rows", "rules"),
     [
-        ([TAKEN, BUSY], []),
-        ([TAKEN], [Rule.SINGLE_ANSWER]),
-        ([TAKEN, (9, EventKind.CLIENT_DISCONNECTED, "n0", "r")], []),
-        ([TAKEN, BUSY, (6, EventKind.REQUEST_ANSWERED, "n0", "r", "", 0, "err")], [Rule.SINGLE_ANSWER]),
-        ([TAKEN, (2_050_001, *BUSY[1:])], [Rule.ANSWER_IN_TIME]),
-        ([TAKEN, (2_050_000, *BUSY[1:])], []),
-        ([TAKEN, (9, EventKind.PROXY_STATE_CHANGED, "n0", "", "", 0, "killed")], []),
-        ([TAKEN, (9, EventKind.PROXY_STATE_CHANGED, "n0", "", "", 0, "stopped")], [Rule.SINGLE_ANSWER]),
+        ([RECEIVED, BUSY], []),
+        ([RECEIVED], [Rule.SINGLE_ANSWER]),
+        ([RECEIVED, (9, EventKind.CLIENT_DISCONNECTED, "n0", "r")], []),
+        ([RECEIVED, BUSY, (6, EventKind.REQUEST_ANSWERED, "n0", "r", "", 0, "err")], [Rule.SINGLE_ANSWER]),
+        ([RECEIVED, (2_050_001, *BUSY[1:])], [Rule.ANSWER_IN_TIME]),
+        ([RECEIVED, (2_050_000, *BUSY[1:])], []),
+        ([RECEIVED, (9, EventKind.PROXY_STATE_CHANGED, "n0", "", "", 0, "killed")], []),
+        ([RECEIVED, (9, EventKind.PROXY_STATE_CHANGED, "n0", "", "", 0, "stopped")], [Rule.SINGLE_ANSWER]),
         (
             [
-                TAKEN,
+                RECEIVED,
                 (1, EventKind.ATTEMPT_SENT, "n0", "r", "a", 0),
                 (2, EventKind.ATTEMPT_SENT, "n0", "r", "b", 1),
                 (3, *BUSY[1:]),
@@ -184,7 +184,7 @@
         ),
         (
             [
-                TAKEN,
+                RECEIVED,
                 (1, EventKind.ATTEMPT_SENT, "n0", "r", "a", 0),
                 (2, EventKind.ATTEMPT_ENDED, "n0", "r", "a", 0, "shed"),
                 (2, EventKind.ATTEMPT_SENT, "n0", "r", "b", 1),
@@ -241,7 +241,7 @@
     ("units", "is_notified", "rules"), [(1, True, []), (2, True, [Rule.SLOW_START_BUDGET]), (2, False, [])]
 )
 def test_the_slow_start_budget_is_checked(units: int, is_notified: bool, rules: list[Rule]) -> None:
-    """50 units fill it in 24 s: 4 x 0.2 x 50 / 24, and 3 for chance, may come within a second."""
+    """50 units fill the server in 24 s: 4 x 0.2 x 50 / 24 are allowed within a second, and a tolerance of 3."""
     rows: list[tuple[Any, ...]] = [(0, EventKind.SERVER_STARTED, "", "", "a", 50_000, "0.2,24000000")]
     rows += [(1, EventKind.ENDPOINT_NOTIFIED, "n0", "", "a", 0, "SERVING")] if is_notified else []
     rows += [(10 + number, EventKind.ATTEMPT_EXECUTED, "n0", f"r{number}", "a", 0, str(units)) for number in range(4)]
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,7 +1,7 @@
-"""Real loopback sockets in virtual time: an event loop whose clock moves only while nothing is ready.
+"""Real loopback sockets in virtual time: an event loop whose clock advances only while no socket is ready.
 
-All parties live in one process, where loopback hands bytes on at once: waits cost nothing, and verdicts do not hang on
-the machine's load.
+All peers run in one process, where loopback delivers bytes immediately: timers take no real time, and the results do
+not depend on the machine's load.
 """
 
 from __future__ import annotations
@@ -14,10 +14,12 @@
 from stoatgw.clock import Clock
 
 T = TypeVar("T")
-SETTLE_S = 0.0005  # real time in which what was sent on loopback surely shows
+SETTLE_S = 0.0005  # real time within which data sent on loopback becomes readable
 
 
 class _Selector(selectors.DefaultSelector):
+    """Skips the timeout and advances the time by it, unless a file becomes ready within SETTLE_S."""
+
     now_s = 1000.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
@@ -31,6 +33,8 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop in virtual time."""
+
     def __init__(self) -> None:
         self._virtual = _Selector()
         super().__init__(self._virtual)
@@ -40,12 +44,13 @@
 
 
 class VirtualClock(Clock):
-    """The loop's time as the proxy's clock."""
+    """A clock of the proxy that returns the event loop's time."""
 
     def now_us(self) -> int:
         return int(asyncio.get_running_loop().time() * 1e6)
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine in a new virtual loop."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
