--- a/stoatgw/emulator/engine/gateway.py
+++ b/stoatgw/emulator/engine/gateway.py
@@ -1,4 +1,4 @@
-"""Request bodies into responses as the published interface has them: base64, numbers as strings, no zeros."""
+"""Maps request bodies to responses in etcd's JSON encoding: base64, 64-bit numbers as strings, empty fields omitted."""
 
 from __future__ import annotations
 
@@ -19,18 +19,24 @@
 
 
 class InvalidCallError(ValueError):
-    """A body cannot be used: answered with status 400 and code 3."""
+    """An invalid request body: answered with status 400 and code 3."""
 
 
 class NotFoundError(KeyError):
-    """There is no such lease: answered with status 404 and code 5."""
+    """A lease that does not exist: answered with status 404 and code 5."""
 
 
 def handle_call(store: Store, path: str, body: Body, now_us: int) -> Body:
-    """Carry a call out.
+    """Expire the leases that are due, then execute a call.
+
+    Args:
+        store: The keys and leases.
+        path: The path of the call, one of `HANDLERS`.
+        body: The decoded JSON body.
+        now_us: The current time.
 
     Raises:
-        InvalidCallError: The body cannot be used.
+        InvalidCallError: The body is invalid.
         NotFoundError: The lease does not exist.
         KeyError: The path does not exist.
     """
@@ -108,7 +114,7 @@
     for put in puts:
         lease_id = _read_number(put, "lease")
         if lease_id and lease_id not in store.leases:
-            raise NotFoundError("requested lease not found")  # before anything is changed
+            raise NotFoundError("requested lease not found")  # before any change is made
     if puts:
         store.revision += 1
     responses = [_execute_request(store, operation, now_us) for operation in operations]
@@ -120,7 +126,7 @@
 
 
 def _execute_request(store: Store, operation: Body, now_us: int) -> Body:
-    """One operation of a transaction."""
+    """Execute one operation (etcd: RequestOp) of a transaction."""
     if "request_put" in operation:
         put = operation["request_put"]
         store.put(_read_bytes(put, "key"), _read_bytes(put, "value"), _read_number(put, "lease"))
--- a/stoatgw/emulator/engine/server.py
+++ b/stoatgw/emulator/engine/server.py
@@ -1,8 +1,9 @@
-"""The emulator as a process: `python -m stoatgw.emulator.engine.server --listen 127.0.0.1:2379 --data FILE`.
+"""The emulator's process: `python -m stoatgw.emulator.engine.server --listen 127.0.0.1:2379 --data FILE`.
 
-A change is stored in the file before it is answered; where the file cannot be written the change is not made, and the
-answer is status 429, code 8, as of an engine that is out of space. Faults are requested by POST /stand-in/faults:
-{"lose": N} carries the next N transactions out and ends their connections unanswered, {"slow_ms": N} delays answers.
+A change is stored in the file before it is answered. If the file cannot be written, the change is not made, and the
+response is status 429 with code 8, like that of an engine that is out of space. POST /stand-in/faults injects faults:
+{"lose": N} executes the next N transactions but closes their connections without a response, {"slow_ms": N} delays
+responses.
 """
 
 from __future__ import annotations
@@ -34,22 +35,27 @@
     body: Body
 
     def encode(self) -> bytes:
-        """The answer as it is sent."""
+        """Encode the HTTP response."""
         data = orjson.dumps(self.body)
         head = b"HTTP/1.1 %d -\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n"
         return head % (self.status, len(data)) + data
 
 
 class EngineServer:
-    """One call a connection.
+    """Serves one call per connection.
 
     Attributes:
         store: The keys and leases.
-        calls: How many calls came.
+        calls: Number of calls received.
     """
 
     def __init__(self, data: Path | None, history: Path | None = None) -> None:
-        """Keep the store in the file `data`, and append each changed key to `history`."""
+        """Create a server.
+
+        Args:
+            data: The file in which the store is kept, if any.
+            history: The file to which each changed key is appended, if any.
+        """
         self._data = data
         self._history = history
         self.store = Store()
@@ -74,7 +80,7 @@
         writer.close()
 
     def _handle(self, path: str, body: bytes) -> EngineResponse | None:
-        """Carry a call out; None if its answer is to be lost."""
+        """Execute a call; return None if an injected fault drops the response."""
         self.calls += 1
         try:
             response = self._execute_request(path, orjson.loads(body))
@@ -94,7 +100,7 @@
             return EngineResponse(200, {"asked": self.calls})
         if path not in HANDLERS:
             return EngineResponse(404, {"code": 5, "message": "Not Found"})
-        self.store.expire(_now_us())  # leases end on a full disk as well; stored with the next change
+        self.store.expire(_now_us())  # leases expire even if the disk is full; stored with the next change
         before = self.store.copy()
         response = handle_call(self.store, path, request, _now_us())
         has_changed = self.store.revision != before.revision
@@ -109,7 +115,7 @@
         return EngineResponse(200, response)
 
     def _append_history(self) -> None:
-        """One line a changed key, for whoever checks afterwards what was ever stored."""
+        """Append a line for each changed key, so that tests can check everything that was ever stored."""
         if self._history is None:
             return
         with self._history.open("ab") as file:
@@ -119,7 +125,11 @@
                     file.write(orjson.dumps(row) + b"\n")
 
     def _save(self) -> None:
-        """Replace the data file. Raises OSError, with the file as it was."""
+        """Replace the data file atomically.
+
+        Raises:
+            OSError: The file could not be written; it is unchanged.
+        """
         if self._data is None:
             return
         draft = self._data.with_suffix(".draft")
@@ -133,7 +143,11 @@
 
 
 def _read_length(head: bytes) -> int:
-    """The request's content length, 0 without one. Raises ValueError."""
+    """Return the content length of a request, or 0 if it has none.
+
+    Raises:
+        ValueError: The length is not a number.
+    """
     for line in head.split(b"\r\n"):
         if line.lower().startswith(LENGTH_HEADER):
             return int(line[len(LENGTH_HEADER) :])
@@ -153,7 +167,7 @@
 
 
 def main() -> None:
-    """The process."""
+    """Run the process."""
     parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
     parser.add_argument("--listen", default="127.0.0.1:2379")
     parser.add_argument("--data", type=Path)
--- a/stoatgw/emulator/engine/store.py
+++ b/stoatgw/emulator/engine/store.py
@@ -1,4 +1,4 @@
-"""Keys, revisions and leases: pure. Time is passed in, in microseconds of a monotonic clock."""
+"""Keys, revisions and leases, without I/O. Times are passed in, in microseconds of a monotonic clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class CompareTarget(Enum):
-    """What a transaction may compare, as the interface words it."""
+    """What a transaction may compare; the values are those of the HTTP interface."""
 
     CREATE = "CREATE"
     MOD = "MOD"
@@ -20,7 +20,15 @@
 
 @dataclass(slots=True)
 class Entry:
-    """A key's value, the revisions of its creation and last change, how often it was written, and its lease."""
+    """A key's value and metadata.
+
+    Attributes:
+        value: The value.
+        create_revision: The revision of its creation.
+        mod_revision: The revision of its last change.
+        version: Number of writes since its creation.
+        lease_id: The lease that it is attached to, or 0.
+    """
 
     value: bytes
     create_revision: int
@@ -31,7 +39,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A lease's time to live, and when it expires."""
+    """The time to live of a lease, and when it expires."""
 
     ttl_s: int
     expires_us: int
@@ -39,7 +47,7 @@
 
 @dataclass(slots=True)
 class Store:
-    """All keys and leases; the revision grows with each change."""
+    """All keys and leases; the revision increases with each change."""
 
     revision: int = 1
     entries: dict[bytes, Entry] = field(default_factory=dict)
@@ -47,20 +55,20 @@
     leases_granted: int = 0
 
     def expire(self, now_us: int) -> None:
-        """Revoke the leases whose time is over."""
+        """Revoke the leases that have expired."""
         expired = [lease_id for lease_id, lease in self.leases.items() if lease.expires_us <= now_us]
         for lease_id in expired:
             self.revoke(lease_id)
 
     def grant(self, ttl_s: int, now_us: int) -> int:
-        """A new lease's id: never the same twice, also after a restart that kept the data."""
+        """Grant a lease, and return its id, which is unique even across restarts that keep the data."""
         self.leases_granted += 1
         lease_id = FIRST_LEASE_ID + self.leases_granted
         self.leases[lease_id] = Lease(ttl_s, now_us + ttl_s * 1_000_000)
         return lease_id
 
     def keep_alive(self, lease_id: int, now_us: int) -> int:
-        """The lease's time to live from now on in seconds; 0 if it does not exist."""
+        """Renew a lease, and return its time to live in seconds; return 0 if it does not exist."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return 0
@@ -68,7 +76,7 @@
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> bool:
-        """End a lease and its keys; False if it does not exist."""
+        """Revoke a lease, and delete its keys; return False if it does not exist."""
         if self.leases.pop(lease_id, None) is None:
             return False
         deleted = [key for key, entry in self.entries.items() if entry.lease_id == lease_id]
@@ -79,13 +87,13 @@
         return True
 
     def range(self, key: bytes, range_end: bytes) -> list[tuple[bytes, Entry]]:
-        """The entry of a key, or with an end all entries from the key up to it, sorted."""
+        """Return the entry of a key, or all entries from `key` to before `range_end`, sorted by key."""
         if not range_end:
             return [(key, self.entries[key])] if key in self.entries else []
         return [(found, self.entries[found]) for found in sorted(self.entries) if key <= found < range_end]
 
     def compare(self, key: bytes, target: CompareTarget, number: int) -> bool:
-        """Whether a key's revision or version is that number; all are 0 for a key that does not exist."""
+        """Report whether a key's revision or version equals a number; all are 0 for a key that does not exist."""
         entry = self.entries.get(key)
         if entry is None:
             return number == 0
@@ -98,7 +106,7 @@
                 return entry.version == number
 
     def put(self, key: bytes, value: bytes, lease_id: int) -> None:
-        """Write a key as part of a transaction, at its revision."""
+        """Write a key at the store's current revision, which the transaction has increased."""
         previous = self.entries.get(key)
         if previous is None:
             self.entries[key] = Entry(value, self.revision, self.revision, 1, lease_id)
@@ -107,12 +115,12 @@
             self.entries[key] = Entry(value, previous.create_revision, self.revision, version, lease_id)
 
     def copy(self) -> Store:
-        """An independent copy."""
+        """Return an independent copy."""
         return load(dump(self))
 
 
 def dump(store: Store) -> bytes:
-    """The store as it is kept in a file."""
+    """Serialize a store for its file."""
     entries = {
         key.hex(): [entry.value.hex(), entry.create_revision, entry.mod_revision, entry.version, entry.lease_id]
         for key, entry in store.entries.items()
@@ -122,7 +130,11 @@
 
 
 def load(data: bytes) -> Store:
-    """What was dumped. Raises ValueError."""
+    """Deserialize a store.
+
+    Raises:
+        ValueError: The data was not written by `dump`.
+    """
     revision, leases_granted, entries, leases = orjson.loads(data)
     store = Store(revision, leases_granted=leases_granted)
     for key, (value, *numbers) in entries.items():
@@ -133,10 +145,10 @@
 
 
 def restore(data: bytes, now_us: int) -> Store:
-    """What was dumped by another process; leases begin anew, as after a change of the engine's leader.
+    """Deserialize a store that another process wrote; renew all leases, as etcd does when its leader changes.
 
     Raises:
-        ValueError: The data is no dump.
+        ValueError: The data was not written by `dump`.
     """
     store = load(data)
     for lease_id in store.leases:
