--- a/stoatgw/emulator/world/scenario.py
+++ b/stoatgw/emulator/world/scenario.py
@@ -22,7 +22,7 @@
     share: Share  # of the fleet's servers
     cores: Count = 2
     speed: Range = (1.0, 1.0)  # relative speed of a core
-    cold_from: ShareRange = (0.13, 0.35)  # fraction of the capacity at the start of the process
+    cold_from: ShareRange = (0.13, 0.35)  # warm-up fraction (of the full capacity) at the start of the process
     cold_s: Range = (11.0, 24.0)  # duration of the warm-up
 
 
--- a/stoatgw/emulator/world/server_model.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -69,7 +69,7 @@
     Attributes:
         properties: The drawn, fixed properties.
         latency_objectives_s: The latency objectives of messages, by class.
-        rules: The settings of the decision policy, which also limit sends in slow start.
+        policy_settings: The settings of the decision policy, which also limit sends in slow start.
         accounting: Records the service of the connections.
         random: The server's random stream.
         now_us: The time up to which the state is computed.
@@ -91,7 +91,7 @@
 
     properties: ServerProperties
     latency_objectives_s: tuple[float, ...]
-    rules: PolicySettings
+    policy_settings: PolicySettings
     accounting: ServiceAccounting
     random: np.random.Generator
     now_us: int
@@ -113,7 +113,7 @@
 
     def __post_init__(self) -> None:
         self.reachable_counts = [0] * len(self.latency_objectives_s)
-        self.warm_up_budget = WarmUpBudget(self.properties, self.rules)
+        self.warm_up_budget = WarmUpBudget(self.properties, self.policy_settings)
         self.report = self._measure()
 
     @property
--- a/stoatgw/emulator/world/warm_up.py
+++ b/stoatgw/emulator/world/warm_up.py
@@ -18,17 +18,17 @@
 class WarmUpBudget:
     """Counts the load units sent to one server within the window of the slow-start rule."""
 
-    def __init__(self, properties: ServerProperties, rules: PolicySettings) -> None:
+    def __init__(self, properties: ServerProperties, policy_settings: PolicySettings) -> None:
         self._properties = properties
-        self._rules = rules
+        self._policy_settings = policy_settings
         self._recent_sends: deque[tuple[int, float]] = deque()  # time (us) and expected load units
-        self._window_us = rules.fall_ms * 1000
+        self._window_us = policy_settings.fall_ms * 1000
 
     def max_units(self, fraction: float) -> float:
         """Return the load units that may be sent in a window at a warm-up fraction."""
         properties = self._properties
-        budget = self._rules.fall_multiple * fraction * properties.capacity_units
-        budget = budget * self._rules.fall_ms * 1000 / properties.warm_up_us
+        budget = self._policy_settings.fall_multiple * fraction * properties.capacity_units
+        budget = budget * self._policy_settings.fall_ms * 1000 / properties.warm_up_us
         return budget + MIN_WARM_UP_EXCESS_UNITS
 
     def spent_units(self, now_us: int) -> float:
--- a/stoatgw/emulator/world/world_state.py
+++ b/stoatgw/emulator/world/world_state.py
@@ -117,7 +117,7 @@
         self.sink.record(Event(time_us, kind, proxy, request_id, server, number, detail))
 
     def log_notified(self, proxy: int, entries: list[EndpointEntry]) -> None:
-        """Record the entries that a proxy was notified of; the start of a server that was warm at the start is 0."""
+        """Record the entries that a proxy was notified of; a server that was warm before the run has 0 as its start."""
         for entry in entries:
             self.log(
                 EventKind.ENDPOINT_NOTIFIED,
@@ -161,7 +161,7 @@
                 identity, fleet, objective_s, self.streams.create_generator("machine", number)
             ),
             latency_objectives_s=self.latency_objectives_s,
-            rules=self.scenario.module,
+            policy_settings=self.scenario.module,
             accounting=self._server_accounting,
             random=self.streams.create_generator("server", number),
             now_us=self.scheduler.now_us(),
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker detects violations of each rule, in runs of deliberately faulty policies and proxies and in written logs."""
+"""The checker detects violations of each rule: in runs of a faulty policy or proxy, and in logs written for the test."""
 
 from __future__ import annotations
 
