--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker detects violations of each rule: in runs of a faulty policy or proxy, and in logs written for the test."""
+"""The checker detects violations of each rule: in runs of a faulty policy or proxy, and in hand-written event logs."""
 
 from __future__ import annotations
 
@@ -146,7 +146,7 @@
     assert Rule.SINGLE_ANSWER not in found  # the controller still answers the requests
 
 
-# Logs that are written out here.
+# Hand-written event logs.
 
 LIMITS = CheckerLimits(drain_grace_us=3_000_000, slow_start_multiple=4.0, slow_start_window_us=1_000_000)
 
