--- a/stoatgw/emulator/world/scenario.py
+++ b/stoatgw/emulator/world/scenario.py
@@ -109,7 +109,7 @@
 
     notice_s: Range = (1.3, 4.7)  # until the end or drain of a process is published
     silent_notice_s: Range = (6.2, 14.0)  # until a machine that disappeared is published as deleted
-    add_s: Range = (0.3, 2.4)  # until a new server is published
+    add_s: Range = (0.3, 2.4)  # until a new or restarted server is published
 
 
 class Proxies(Table, frozen=True):
--- a/stoatgw/emulator/world/server_model.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -22,7 +22,7 @@
 from stoatgw.emulator.world.warm_up import WarmUpBudget, warm_up_fraction
 
 BACKLOG_STEP_US = 25_000  # maximum step of the integration while there is a backlog
-SHED_TO_UTILIZATION = 0.9  # a server with too much backlog drops its newest connections until it is below this
+SHED_TO_UTILIZATION = 0.9  # a server with too much backlog drops its newest connections down to this utilization
 MAX_TAIL_UTILIZATION = 0.98  # at higher utilization the tail of message latencies no longer grows
 UNREPORTED_BACKLOG_S = 0.05  # backlog up to this is not included in the load report
 
