--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -18,12 +18,12 @@
 from stoatgw.emulator.virtual.session_model import Session
 from stoatgw.emulator.world.events import Event, EventKind
 from stoatgw.emulator.world.world_state import WorldState
-from tests.test_emulator import load_by_name, play
+from tests.test_emulator import load_named_scenario, run_scenario
 
 
 def rules_broken(name: str, *changes: str, policy: Any = None, seed: int = 1) -> set[Rule]:
-    scenario = load_by_name(name, *changes)
-    _, checker, _ = play(scenario, seed, policy) if policy else play(scenario, seed)
+    scenario = load_named_scenario(name, *changes)
+    _, checker, _ = run_scenario(scenario, seed, policy) if policy else run_scenario(scenario, seed)
     return {each.rule for each in checker.violations}
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -43,11 +43,11 @@
 SECOND = 1_000_000
 
 
-def load_by_name(name: str, *changes: str) -> Scenario:
+def load_named_scenario(name: str, *changes: str) -> Scenario:
     return load_scenario(ROOT / "scenarios" / f"{name}.toml", (*SMALL.get(name, ()), *changes))
 
 
-def play(
+def run_scenario(
     scenario: Scenario,
     seed: int = 1,
     policy: PolicyBuilder = balancer_policy,
@@ -229,8 +229,8 @@
 
 
 def test_demand_depends_on_the_seed_alone() -> None:
-    scenario = load_by_name("rush")
-    other = load_by_name("rush", "proxies.count=2", "module.probes=false", "discovery.add_s=[0, 0]")
+    scenario = load_named_scenario("rush")
+    other = load_named_scenario("rush", "proxies.count=2", "module.probes=false", "discovery.add_s=[0, 0]")
     one, two = draw_population(scenario, 400.0, RandomStreams(5)), draw_population(other, 400.0, RandomStreams(5))
     assert (one.arrival_us == two.arrival_us).all()
     assert (one.load_units == two.load_units).all()
@@ -243,7 +243,7 @@
 
 
 def test_a_client_retries_twice_then_waits_longer() -> None:
-    scenario = load_by_name("calm")
+    scenario = load_named_scenario("calm")
     client = Client(0, draw_population(scenario, 400.0, RandomStreams(1)), scenario.clients)
     waits = [client.delay_after_failure_us(0) for _ in range(7)]
     assert waits[0] < waits[2]
@@ -312,12 +312,12 @@
 
 
 def test_fields_are_set_by_their_path() -> None:
-    scenario = load_by_name("shrink", "faults.0.to=0.5", "clients.load=0.2", "about=free text")
+    scenario = load_named_scenario("shrink", "faults.0.to=0.5", "clients.load=0.2", "about=free text")
     assert (scenario.faults[0].to, scenario.clients.load, scenario.about) == (0.5, 0.2, "free text")  # type: ignore[union-attr]
-    assert scenario.digest != load_by_name("shrink").digest == load_by_name("shrink").digest
+    assert scenario.digest != load_named_scenario("shrink").digest == load_named_scenario("shrink").digest
     for change in ("nothing", "faults.7.at_s=1", "name.x=1"):
         with pytest.raises(ScenarioError, match="--set"):
-            load_by_name("shrink", change)
+            load_named_scenario("shrink", change)
 
 
 # Complete runs.
@@ -325,7 +325,7 @@
 
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_every_scenario_keeps_the_rules(name: str) -> None:
-    driver, checker, events = play(load_by_name(name))
+    driver, checker, events = run_scenario(load_named_scenario(name))
     assert [str(each) for each in checker.violations] == []
     assert checker.counts["answer"] > 20
     assert driver.counts["up"] > 20
@@ -339,7 +339,9 @@
 @pytest.mark.parametrize("name", SLOW_START_SEEDS)
 def test_all_proxies_together_keep_the_slow_start_budget_on_other_seeds(name: str) -> None:
     # Guards against proxies that share nothing and send more together than a server in slow start bears.
-    violations = [each for seed in SLOW_START_SEEDS[name] for each in play(load_by_name(name), seed)[1].violations]
+    violations = [
+        each for seed in SLOW_START_SEEDS[name] for each in run_scenario(load_named_scenario(name), seed)[1].violations
+    ]
     assert [str(each) for each in violations] == []
 
 
@@ -354,7 +356,9 @@
     monkeypatch.setattr(
         "stoatgw.emulator.world.warm_up.MIN_WARM_UP_EXCESS_UNITS", 1e9
     )  # none falls: all that is sent is seen
-    _, checker, _ = play(load_by_name(name, f"proxies.count={count}"), chance=lambda budget: 2 * budget**0.5 + 2)
+    _, checker, _ = run_scenario(
+        load_named_scenario(name, f"proxies.count={count}"), chance=lambda budget: 2 * budget**0.5 + 2
+    )
     assert [str(each) for each in checker.violations if "units within the window" in each.reason] == []
     assert checker.counts["ran"] > 500
 
@@ -362,14 +366,14 @@
 @pytest.mark.parametrize("policy", [random_policy, omniscient_policy])
 def test_the_policies_of_comparison_keep_the_rules(policy: PolicyBuilder) -> None:
     for name in ("grow", "crashes"):
-        assert [str(each) for each in play(load_by_name(name), policy=policy)[1].violations] == []
+        assert [str(each) for each in run_scenario(load_named_scenario(name), policy=policy)[1].violations] == []
 
 
 def test_the_omniscient_policy_serves_more_than_the_random_one() -> None:
-    scenario = load_by_name("shrink")
+    scenario = load_named_scenario("shrink")
     shares = {
         policy: np.mean(
-            [play(scenario, seed, policy)[0].world.accounting.service_shares()["whole"] for seed in range(4)]
+            [run_scenario(scenario, seed, policy)[0].world.accounting.service_shares()["whole"] for seed in range(4)]
         )
         for policy in (random_policy, omniscient_policy)
     }
@@ -400,7 +404,7 @@
 
 @pytest.mark.parametrize("shuffle", range(4))
 def test_any_order_within_a_microsecond_keeps_the_rules(shuffle: int) -> None:
-    _, checker, _ = play(load_by_name("restarts"), shuffle=shuffle)
+    _, checker, _ = run_scenario(load_named_scenario("restarts"), shuffle=shuffle)
     assert checker.violations == []
 
 
@@ -418,7 +422,7 @@
         put(self, message)
 
     monkeypatch.setattr(Controller, "post", leave_with_up)
-    driver, checker, _ = play(load_by_name("calm"))
+    driver, checker, _ = run_scenario(load_named_scenario("calm"))
     assert len(left) == 20
     assert checker.violations == []
     assert not any(name in server.connections for name in left for server in driver.world.servers.values())
@@ -434,7 +438,7 @@
             self._world.kill_server(server)
 
     monkeypatch.setattr(AttemptModel, "_on_connected", die)
-    driver, checker, events = play(load_by_name("calm"))
+    driver, checker, events = run_scenario(load_named_scenario("calm"))
     assert len(killed) == 2
     assert checker.violations == []
     assert driver.counts["attempts"] > driver.counts["up"]  # the attempts that died, made good elsewhere
@@ -453,7 +457,7 @@
         },
         "test",
     )
-    driver, checker, events = play(scenario)
+    driver, checker, events = run_scenario(scenario)
     assert checker.violations == []
     assert driver.counts["timed_out"] > 0
     gone = {event.request_id for event in events if event.kind is EventKind.CLIENT_DISCONNECTED}
@@ -466,8 +470,8 @@
 
 
 def test_a_killed_proxys_clients_come_back_through_its_peers() -> None:
-    scenario = load_by_name("calm", "faults=[{kind='kill_proxy', at_s=20, proxy=0, back_s=30}]")
-    driver, checker, events = play(scenario)
+    scenario = load_named_scenario("calm", "faults=[{kind='kill_proxy', at_s=20, proxy=0, back_s=30}]")
+    driver, checker, events = run_scenario(scenario)
     lost = sum(event.kind is EventKind.SESSION_ENDED and event.detail == "proxy killed" for event in events)
     assert lost > 10
     assert checker.violations == []
@@ -480,7 +484,7 @@
 
 def test_clients_that_leave_do_not_eject_their_server() -> None:
     """Found by the emulator: each such client took its server out for 4 s, and returning clients were refused."""
-    refused = [play(load_by_name("return"), seed)[0].counts["refused"] for seed in range(4)]
+    refused = [run_scenario(load_named_scenario("return"), seed)[0].counts["refused"] for seed in range(4)]
     assert sum(refused) < 60  # it was some hundreds in each
 
 
