--- a/stoatgw/emulator/virtual/__init__.py
+++ b/stoatgw/emulator/virtual/__init__.py
@@ -1,5 +1,6 @@
-"""The virtual driver: real controllers and balancers before the world model, in virtual time and in one process.
+"""The virtual driver: real controllers and balancers against the world model, in virtual time and in one process.
 
-It holds the event loop that stands in for asyncio's, the proxies, and their sessions without sockets. It promises
-repeatable runs. Sockets, processes and real time are left to the loopback driver.
+It contains the event loop that replaces asyncio's, the modelled proxies, and their sessions without sockets. Runs are
+reproducible: the same scenario and seed give the same events. Sockets, processes and real time are covered by the
+loopback driver.
 """
--- a/stoatgw/emulator/virtual/attempt_model.py
+++ b/stoatgw/emulator/virtual/attempt_model.py
@@ -1,4 +1,4 @@
-"""One attempt of a modelled session, and the network between its proxy and its server, in virtual time."""
+"""The attempts of a modelled session, and the network between its proxy and its server, in virtual time."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class AttemptOwner(Protocol):
-    """The session that an attempt is made for."""
+    """The session that attempts are made for."""
 
     name: str
     client: Client
@@ -28,24 +28,24 @@
 
     @property
     def has_ended(self) -> bool:
-        """Whether the session is over, so that nothing scheduled for its attempts counts."""
+        """Whether the session has ended, so that events still scheduled for its attempts are ignored."""
 
     def on_attempt_failed(self, end: AttemptEnd) -> None:
-        """The attempt ended without being established."""
+        """Handle the end of an attempt that was not established."""
 
     def on_established(self) -> None:
-        """UP has arrived at the proxy."""
+        """Handle the arrival of UP at the proxy."""
 
-    def server_ended(self, how: str, status: AttemptStatus) -> None:
-        """The server closed the connection."""
+    def server_ended(self, end_kind: str, status: AttemptStatus) -> None:
+        """Handle the end of the connection by the server; `end_kind` is `BYE`, `MOVE`, `drop` or `reset`."""
 
 
 class AttemptModel:
     """The attempts of one session, one after the other, from connecting to UP.
 
     Attributes:
-        number: Of the last attempt.
-        stage: How far the last attempt has come.
+        number: The number of the last attempt; -1 before the first.
+        stage: The stage that the last attempt has reached.
     """
 
     def __init__(
@@ -55,21 +55,21 @@
         self._scheduler = scheduler
         self._proxy = proxy
         self._owner = owner
-        self._generation = 0  # what was scheduled in an earlier one is ignored
+        self._generation = 0  # events scheduled in an earlier generation are ignored
         self.number = -1
         self.stage = AttemptStage.CONNECTING
 
     def prepare(self, number: int) -> None:
-        """Numbers the next attempt."""
+        """Set the number of the next attempt, and reset the stage."""
         self.number = number
         self.stage = AttemptStage.CONNECTING
 
     def invalidate(self) -> None:
-        """Everything scheduled in the proxy's process so far is to be ignored."""
+        """Make the proxy's process ignore all events scheduled for this session until now."""
         self._generation += 1
 
     def connect(self, server: ServerModel, deadline_us: int) -> None:
-        """Connects to a server; sends the request once that has succeeded."""
+        """Connect to a server, and send the request once connected."""
         now_us = self._scheduler.now_us()
         dial_deadline_us = min(now_us + DIAL_TIMEOUT_US, deadline_us)
         connected_us = now_us + 2 * self.draw_latency_us(server)
@@ -94,15 +94,15 @@
         self.stage = AttemptStage.SENT
         self._world.log(EventKind.ATTEMPT_SENT, self._proxy.name, self._owner.name, server.name, self.number)
         self.call_in_proxy(deadline_us, partial(self.fail, AttemptStatus.EXPIRED, "timed out"))
-        arrive = partial(self._receive_at_server, server, self._generation, self.number, deadline_us)
-        self.call_after(self.draw_latency_us(server), arrive)
+        receive_request = partial(self._receive_at_server, server, self._generation, self.number, deadline_us)
+        self.call_after(self.draw_latency_us(server), receive_request)
 
     def _receive_at_server(self, server: ServerModel, generation: int, attempt: int, deadline_us: int) -> None:
-        """The complete request has arrived: from now on it may run, whether its proxy still waits or not."""
+        """Handle the complete request: from now on it may run, whether or not the proxy still waits for it."""
         if self._world.is_unreachable(self._proxy.zone, server):
             return
         if server.lifecycle is ServerLifecycle.GONE:
-            self._receive_refusal(server, generation, AttemptStatus.DROPPED)
+            self._deliver_refusal(server, generation, AttemptStatus.DROPPED)
             return
         now_us = self._scheduler.now_us()
         units = server.expected_load_units(self._owner.group)
@@ -111,43 +111,43 @@
         )
         decision = server.handle_open(now_us, units, self._owner.group, deadline_us)
         if decision.outcome == "reset":
-            self._receive_refusal(server, generation, AttemptStatus.DROPPED)
+            self._deliver_refusal(server, generation, AttemptStatus.DROPPED)
             return
-        decide = partial(self._decide_at_server, server, generation, decision.outcome, server.started_us)
-        self._scheduler.call_at(decision.decided_at_us, decide)
+        apply_decision = partial(self._apply_setup_decision, server, generation, decision.outcome, server.started_us)
+        self._scheduler.call_at(decision.decided_at_us, apply_decision)
 
-    def _decide_at_server(self, server: ServerModel, generation: int, outcome: str, started_us: int) -> None:
+    def _apply_setup_decision(self, server: ServerModel, generation: int, outcome: str, started_us: int) -> None:
         is_same_process = server.started_us == started_us
         if (is_same_process and outcome == "up") or server.setups_in_progress > 0:
             server.finish_setup()
         if server.lifecycle is ServerLifecycle.GONE or not is_same_process or not self._is_current(generation):
-            return  # its death was reported already; or nobody waits any more
+            return  # the end of the process was reported already, or the proxy no longer waits for the answer
         if outcome == "busy" or server.lifecycle is not ServerLifecycle.SERVING:
-            self._receive_refusal(server, generation, AttemptStatus.SHED)
+            self._deliver_refusal(server, generation, AttemptStatus.SHED)
             return
-        self.open_at_server(server, is_reachable=not self._proxy.loop.is_frozen)
+        self.add_to_server(server, is_reachable=not self._proxy.loop.is_frozen)
         latency_us = self.draw_latency_us(server)
         if not self._world.is_unreachable(self._proxy.zone, server):
             self.call_in_proxy(self._scheduler.now_us() + latency_us, self._owner.on_established)
 
-    def _receive_refusal(self, server: ServerModel, generation: int, status: AttemptStatus) -> None:
-        """The server's refusal, or its end, is on its way to the proxy."""
+    def _deliver_refusal(self, server: ServerModel, generation: int, status: AttemptStatus) -> None:
+        """Schedule the arrival of the server's refusal, or of the end of its connection, at the proxy."""
         if self._is_current(generation):
             at_us = self._scheduler.now_us() + self.draw_latency_us(server)
             self.call_in_proxy(at_us, partial(self.fail, status, status.value))
 
     def fail(self, status: AttemptStatus, reason: str) -> None:
-        """Ends the attempt at the stage that it has reached."""
+        """End the attempt at the stage that it has reached."""
         self._owner.on_attempt_failed(AttemptEnd(status, self.stage, reason))
 
-    def log_ended(self, server: ServerModel, how: str) -> None:
-        """Logs the end of an attempt that was sent."""
-        self._world.log(EventKind.ATTEMPT_ENDED, self._proxy.name, self._owner.name, server.name, self.number, how)
+    def log_ended(self, server: ServerModel, end_kind: str) -> None:
+        """Log the end of an attempt that was sent."""
+        self._world.log(EventKind.ATTEMPT_ENDED, self._proxy.name, self._owner.name, server.name, self.number, end_kind)
 
-    # The server's side, and the network.
+    # The server's side and the network.
 
-    def open_at_server(self, server: ServerModel, *, is_reachable: bool) -> None:
-        """The server holds the connection from now on."""
+    def add_to_server(self, server: ServerModel, *, is_reachable: bool) -> None:
+        """Add the connection to the server, and schedule the first change of its load."""
         units, change_us = self._owner.client.next_load()
         on_dropped = partial(self._owner.server_ended, "drop", AttemptStatus.DROPPED)
         connection = HeldConnection(
@@ -157,41 +157,41 @@
         self.call_after(change_us, partial(self._change_load, server))
 
     def _change_load(self, server: ServerModel) -> None:
-        """The load of the connection changes, as long as the server holds it."""
+        """Change the load of the connection, and schedule the next change, while the server has the connection."""
         now_us = self._scheduler.now_us()
         if self._owner.name in server.connections and now_us < self._world.end_us:
             units, change_us = self._owner.client.next_load()
             server.update_load(now_us, self._owner.name, units)
             self.call_after(change_us, partial(self._change_load, server))
 
-    def close_to_server(self, server: ServerModel) -> None:
-        """The proxy closes its connection to the server, which notices after the network's latency."""
-        self.call_after(self.draw_latency_us(server), partial(self._close_at_server, server))
+    def close_server_connection(self, server: ServerModel) -> None:
+        """Close the proxy's connection to the server, which notices it after the network latency."""
+        self.call_after(self.draw_latency_us(server), partial(self._remove_from_server, server))
 
-    def _close_at_server(self, server: ServerModel) -> None:
+    def _remove_from_server(self, server: ServerModel) -> None:
         server.remove_connection(self._scheduler.now_us(), self._owner.name)
 
     def draw_latency_us(self, server: ServerModel) -> int:
-        """The network's latency between proxy and server, one way, this time."""
+        """Draw a one-way network latency between the proxy and the server."""
         base_us = self._world.one_way_latency_us(self._proxy.zone, server)
         jitter = self._world.scenario.network.jitter
         return max(1, int(base_us * (1.0 + jitter * (2.0 * self._proxy.random.next() - 1.0))))
 
-    # Time.
+    # Scheduling.
 
     def _is_current(self, generation: int) -> bool:
         return self._generation == generation and not self._owner.has_ended
 
     def call_after(self, delay_us: int, action: Callable[[], None]) -> None:
-        """Schedules what happens outside the proxy's process."""
+        """Schedule an action outside the proxy's process, such as on the server or in the network."""
         self._scheduler.call_at(self._scheduler.now_us() + delay_us, action)
 
     def call_in_proxy(self, at_us: int, action: Callable[[], None]) -> None:
-        """Schedules an action in the proxy's process, unless the attempt or the session is over by then."""
+        """Schedule an action in the proxy's process; it is skipped if the attempt or the session has ended by then."""
         generation = self._generation
 
         def run_if_current() -> None:
-            """Drops what an attempt or a session that is over has scheduled."""
+            """Run the action unless its attempt or session has ended."""
             if self._is_current(generation):
                 action()
 
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -1,6 +1,6 @@
-"""The virtual driver: the real controller and decisions of each proxy, in virtual time, before the modelled world.
+"""The virtual driver: each proxy's real controller and decisions, in virtual time, against the modelled world.
 
-Only what touches sockets is modelled: sessions, the backends as a proxy reaches them, and the clients.
+Only what uses sockets is modelled: sessions, the proxies' access to the backends, and the clients.
 """
 
 from __future__ import annotations
@@ -27,20 +27,20 @@
 from stoatgw.emulator.world.server_model import HeldConnection, ServerModel
 from stoatgw.emulator.world.world_state import WorldState, drop_connections
 
-START_US = 1_700_000_000_000_000  # the virtual clock's first time: no run depends on the day it is made
-SETTLE_US = 4_000_000  # a run goes on so long after its last arrival, until all is answered
-REWATCH_DELAY_US = 100_000  # a proxy that lost its watch has it again so soon
+START_US = 1_700_000_000_000_000  # the virtual clock's start; fixed, so that runs do not depend on the date
+SETTLE_US = 4_000_000  # time that a run continues after its last arrival, so that all requests are answered
+REWATCH_DELAY_US = 100_000  # from the loss of a proxy's watch to the next one
 
 PolicyBuilder = Callable[[WorldState], PolicyFactory]
 
 
 def balancer_policy(_: WorldState) -> PolicyFactory:
-    """The project's own decisions, as in service."""
+    """Build the project's own balancer, as the service uses it."""
     return Balancer
 
 
 class VirtualDriver(ClientPopulation[Session]):
-    """One virtual run: `run` plays it; the results are in `world`, `counts` and `setup_times_us`."""
+    """One virtual run. `run` executes it; the results are in `world`, `counts` and `setup_times_us`."""
 
     def __init__(
         self,
@@ -48,11 +48,11 @@
         seed: int,
         sink: EventSink,
         policy: PolicyBuilder = balancer_policy,
-        shuffle: int | None = None,
+        shuffle_seed: int | None = None,
     ) -> None:
-        """`shuffle` is a seed for the order of what is due at the same microsecond; None keeps it fixed."""
-        ties = None if shuffle is None else np.random.default_rng(shuffle)
-        self.scheduler = VirtualScheduler(START_US, ties)
+        """Create a run; `shuffle_seed` shuffles the timers due at the same microsecond, None keeps their order."""
+        shuffle_rng = None if shuffle_seed is None else np.random.default_rng(shuffle_seed)
+        self.scheduler = VirtualScheduler(START_US, shuffle_rng)
         super().__init__(WorldState(scenario, seed, self.scheduler, sink))
         self._processes = ProxyProcesses(self, self.scheduler, policy(self.world))
 
@@ -64,7 +64,7 @@
     # The run.
 
     def run(self) -> None:
-        """Play the scenario to its end."""
+        """Run the scenario to its end."""
         world = self.world
         world.start(self)
         world.begin_measurement()
@@ -79,7 +79,7 @@
         self._processes.log_leaks_and_faults()
 
     def _establish_initial_sessions(self) -> None:
-        """Hand the sessions that are established at the start to the proxies, as a restart of all would."""
+        """Add the sessions that are established at the start to the proxies, as after a restart of all proxies."""
         population = self.world.population
         zone_count = len(self.world.scenario.fleet.zones)
         for index, server_name in enumerate(self.world.initial_placements()):
@@ -96,7 +96,7 @@
     # Clients: see ClientPopulation.
 
     def open_session(self, index: int, proxy: int) -> Session | None:
-        """A client connects and, once connected, sends its request: the deadline counts from then."""
+        """Connect a client to a proxy; once connected it sends its request, from which its deadline counts."""
         process = self.proxies[proxy]
         if process.has_ended:
             return None
@@ -104,20 +104,20 @@
         latency_us = self.world.client_latency_us
         client = self.clients[index]
         session = Session(self, process, client, client.next_request_id(), now_us + 2 * latency_us)
-        arrive = partial(process.loop.deliver, session.receive_request)
-        self.scheduler.call_at(now_us + 3 * latency_us, arrive)
-        self.scheduler.call_at(session.requested_us + session.wait_us, partial(self.time_out, session))
+        deliver_request = partial(process.loop.deliver, session.receive_request)
+        self.scheduler.call_at(now_us + 3 * latency_us, deliver_request)
+        self.scheduler.call_at(session.requested_us + session.timeout_us, partial(self.time_out, session))
         return session
 
     def disconnect_client(self, session: Session) -> None:
-        """The client closes its side; the proxy notices one latency later."""
+        """Close the client's side; the proxy notices it one client latency later."""
         if not session.is_answered:
             self.world.log(EventKind.CLIENT_DISCONNECTED, session.proxy.name, session.name)
-        notice = partial(session.proxy.loop.deliver, session.client_disconnected)
-        self.scheduler.call_at(self.scheduler.now_us() + self.world.client_latency_us, notice)
+        deliver_disconnect = partial(session.proxy.loop.deliver, session.client_disconnected)
+        self.scheduler.call_at(self.scheduler.now_us() + self.world.client_latency_us, deliver_disconnect)
 
     def finish_session(self, session: Session) -> None:
-        """The client asks its server to end the session."""
+        """Let the client ask its server to end the session."""
         session.close_by_client()
 
     # Servers: see WorldDriver.
@@ -126,28 +126,28 @@
         return [session for proxy in self.proxies for session in proxy.established.get(server.name, {}).values()]
 
     def on_server_added(self, server: ServerModel) -> None:
-        """Nothing to do: a proxy that is notified of a server reaches it."""
+        """Do nothing: a proxy can reach a server as soon as it is notified of it."""
 
     def on_server_draining(self, server: ServerModel) -> None:
-        """It sends MOVE on all its sessions."""
+        """Send MOVE on all sessions of the server."""
         for session in self._sessions_at(server):
             session.server_ended("MOVE", AttemptStatus.REVOKED)
 
     def on_server_stopped(self, server: ServerModel) -> None:
-        """Its connections are reset, also those of attempts in flight."""
+        """Reset all connections of the server, including those of attempts in flight."""
         for proxy in self.proxies:
             for session in list(proxy.sessions.values()):
                 if session.server is server:
                     session.server_ended("reset", AttemptStatus.DROPPED)
 
     def on_connections_dropped(self, server: ServerModel, connections: list[HeldConnection]) -> None:
-        """A server closes connections because of its backlog."""
+        """Close connections that a server drops because of its backlog."""
         drop_connections(connections)
 
     def on_server_vanished(self, server: ServerModel) -> None:
-        """Its sessions stay open and silent."""
+        """Keep the server's sessions open without any data from it."""
         for proxy in self.proxies:
-            _lose_server(proxy, server)
+            _mark_server_unreachable(proxy, server)
 
     def set_zones_partitioned(self, is_partitioned: bool) -> None:
         """Cut or restore the network between zones."""
@@ -162,25 +162,25 @@
         for session in proxy.established[server.name].values():
             server.set_reachable(now_us, session.name, is_reachable)
         if is_partitioned:
-            _lose_server(proxy, server)
+            _mark_server_unreachable(proxy, server)
 
     # Discovery: see WorldDriver.
 
     def publish_endpoints(self, proxy: int, entries: list[EndpointEntry], is_snapshot: bool) -> None:
-        """Notify a proxy's process of endpoints."""
+        """Notify a proxy's process of endpoints, unless it has ended."""
         process = self.proxies[proxy]
         if not process.has_ended:
             process.loop.deliver(partial(deliver_endpoints, self.world, process, entries, is_snapshot))
 
     def corrupt_endpoint_stream(self, proxy: int) -> None:
-        """Unreadable data changes nothing; the watch begins anew, with a full snapshot."""
+        """Publish a full snapshot after `REWATCH_DELAY_US`: invalid data changes no endpoint, but ends the watch."""
         publish = partial(self.world.discovery.publish_snapshot, proxy)
         self.scheduler.call_at(self.scheduler.now_us() + REWATCH_DELAY_US, publish)
 
     # Proxies: see WorldDriver.
 
     def restart_proxy(self, proxy: int) -> None:
-        """Stop a proxy by SIGTERM and start it again."""
+        """Stop a proxy with SIGTERM and start it again."""
         self._processes.restart(proxy)
 
     def kill_proxy(self, proxy: int, restart_delay_us: int) -> None:
@@ -188,10 +188,10 @@
         self._processes.kill(proxy, restart_delay_us)
 
     def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
-        """Stop a proxy by SIGSTOP for a time."""
+        """Suspend a proxy with SIGSTOP for a time."""
         self._processes.freeze(proxy, freeze_us)
 
 
-def _lose_server(proxy: VirtualProxy, server: ServerModel) -> None:
+def _mark_server_unreachable(proxy: VirtualProxy, server: ServerModel) -> None:
     for session in proxy.established.get(server.name, {}).values():
-        session.lose_server()
+        session.mark_server_unreachable()
--- a/stoatgw/emulator/virtual/endpoints.py
+++ b/stoatgw/emulator/virtual/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list, as the discovery client of a proxy would pass it on."""
+"""Delivers the endpoint list to a modelled proxy, as the discovery client of a real one does."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def to_endpoints(entries: Iterable[EndpointEntry]) -> tuple[Endpoint, ...]:
-    """Entries of the world's list in the form of the decisions' interface."""
+    """Convert entries of the world's endpoint list to endpoints of the decisions' interface."""
     return tuple(
         Endpoint(entry.server, LIFECYCLES[entry.lifecycle], entry.zone, 0, entry.server_kind, 1.0, entry.started_us)
         for entry in entries
@@ -23,7 +23,7 @@
 
 
 def deliver_endpoints(world: WorldState, proxy: VirtualProxy, entries: list[EndpointEntry], is_snapshot: bool) -> None:
-    """Notify a proxy of endpoints; runs in its process."""
+    """Notify a proxy of endpoints; must run in its process."""
     endpoints = to_endpoints(entries)
     world.log_notified(proxy.index, entries)
     listed = [ListedEndpoint(endpoint, endpoint.name, 0) for endpoint in endpoints]
--- a/stoatgw/emulator/virtual/event_loop.py
+++ b/stoatgw/emulator/virtual/event_loop.py
@@ -1,8 +1,8 @@
 """Virtual time: one heap of timers, and an asyncio event loop for each modelled process that runs in it.
 
-Order at one microsecond: first all that is ready, in the order in which it became ready; then what is due, by (tie,
-order of scheduling). `tie` is 0, so what was scheduled first runs first; with a `shuffle` generator it is drawn, so
-that tests see every order that a real machine could show.
+Order at one microsecond: first all ready callbacks, in the order in which they became ready; then the timers due, by
+(tie break, order of scheduling). The tie break is 0, so that timers run in the order of scheduling; with `shuffle_rng`
+it is drawn, so that tests cover every order that can occur on a real machine.
 """
 
 from __future__ import annotations
@@ -20,38 +20,42 @@
 
 Action = Callable[[], None]
 
-MAX_TIE = 1 << 30
+MAX_TIE_BREAK = 1 << 30
 
 _Ts = TypeVarTuple("_Ts")
 
 
 class VirtualScheduler:
-    """The virtual clock and all that waits for it."""
+    """The virtual clock with its timers and ready callbacks.
 
-    def __init__(self, start_us: int, shuffle: np.random.Generator | None = None) -> None:
+    Attributes:
+        executed_steps: The number of callbacks run.
+    """
+
+    def __init__(self, start_us: int, shuffle_rng: np.random.Generator | None = None) -> None:
         self._now_us = start_us
-        self._timers: list[tuple[int, int, int, Action]] = []  # a heap by time, tie and order of scheduling
+        self._timers: list[tuple[int, int, int, Action]] = []  # a heap by time, tie break and order of scheduling
         self._ready: deque[Action] = deque()
-        self._scheduled = 0
-        self._shuffle = shuffle
+        self._scheduled_count = 0
+        self._shuffle_rng = shuffle_rng
         self.executed_steps = 0
 
     def now_us(self) -> int:
-        """The current time."""
+        """Return the current time."""
         return self._now_us
 
     def call_at(self, time_us: int, callback: Action) -> None:
-        """Run `callback` at a time; one in the past runs now, after what is ready."""
-        self._scheduled += 1
-        tie = int(self._shuffle.integers(MAX_TIE)) if self._shuffle is not None else 0
-        heapq.heappush(self._timers, (max(time_us, self._now_us), tie, self._scheduled, callback))
+        """Run `callback` at a time; if that is in the past, now, after all ready callbacks."""
+        self._scheduled_count += 1
+        tie_break = int(self._shuffle_rng.integers(MAX_TIE_BREAK)) if self._shuffle_rng is not None else 0
+        heapq.heappush(self._timers, (max(time_us, self._now_us), tie_break, self._scheduled_count, callback))
 
     def call_soon(self, callback: Action) -> None:
-        """Run `callback` now, after all that is ready."""
+        """Run `callback` now, after all ready callbacks."""
         self._ready.append(callback)
 
     def run_until(self, until_us: int) -> None:
-        """Run all that is due up to a time, and move the clock there."""
+        """Run all callbacks due up to a time, and advance the clock to it."""
         timers = self._timers
         ready = self._ready
         while True:
@@ -74,57 +78,60 @@
         self._scheduler = scheduler
 
     def now_us(self) -> int:
-        """The current time."""
+        """Return the current time."""
         return self._scheduler.now_us()
 
 
 class ProcessEventLoop(asyncio.AbstractEventLoop):
-    """The event loop of one modelled process: it can be frozen, thawed and killed.
+    """The event loop of one modelled process, which can be frozen, thawed and killed.
+
+    It implements only what the controller uses: tasks, futures, `call_soon`, `call_later` and `call_at`.
 
-    Only what the controller needs is there: tasks, futures, `call_soon`, `call_later`, `call_at`.
+    Attributes:
+        unhandled_errors: The contexts that asyncio passed to `call_exception_handler`.
     """
 
     def __init__(self, scheduler: VirtualScheduler) -> None:
         self._scheduler = scheduler
-        self._held_back: list[Action] | None = None  # while frozen
+        self._deferred: list[Action] | None = None  # actions due while frozen; None if not frozen
         self._is_killed = False
         self.unhandled_errors: list[dict[str, Any]] = []
 
-    # The process.
+    # The state of the process.
 
     def freeze(self) -> None:
-        """Hold back all that is due, as SIGSTOP does."""
-        if self._held_back is None:
-            self._held_back = []
+        """Defer all actions that become due, as SIGSTOP does."""
+        if self._deferred is None:
+            self._deferred = []
 
     def thaw(self) -> None:
-        """Run all that became due meanwhile, in its order."""
-        held_back = self._held_back or []
-        self._held_back = None
-        for action in held_back:
+        """Run all deferred actions, in the order in which they became due."""
+        deferred = self._deferred or []
+        self._deferred = None
+        for action in deferred:
             self._scheduler.call_soon(action)
 
     def kill(self) -> None:
-        """Run nothing any more."""
+        """Drop all deferred and future actions."""
         self._is_killed = True
-        self._held_back = None
+        self._deferred = None
 
     @property
     def is_frozen(self) -> bool:
-        """Whether it is frozen now."""
-        return self._held_back is not None
+        """Whether the process is frozen."""
+        return self._deferred is not None
 
     @property
     def is_killed(self) -> bool:
-        """Whether it was killed."""
+        """Whether the process was killed."""
         return self._is_killed
 
     def deliver(self, action: Action) -> None:
-        """Run code of this process now; it is held back while frozen, and dropped once killed."""
+        """Run an action in this process now; it is deferred while frozen, and dropped once killed."""
         if self._is_killed:
             return
-        if self._held_back is not None:
-            self._held_back.append(lambda: self.deliver(action))
+        if self._deferred is not None:
+            self._deferred.append(lambda: self.deliver(action))
             return
         previous_loop = asyncio._get_running_loop()
         asyncio._set_running_loop(self)
@@ -137,16 +144,16 @@
         if not handle.cancelled():
             self.deliver(handle._run)
 
-    # The interface of asyncio.
+    # The interface of `asyncio.AbstractEventLoop`.
 
     def time(self) -> float:
-        """The current time in seconds."""
+        """Return the current time in seconds."""
         return self._scheduler.now_us() / 1e6
 
     def call_soon(
         self, callback: Callable[[Unpack[_Ts]], object], *args: *_Ts, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        """See asyncio."""
+        """Schedule a callback as soon as possible, as in asyncio."""
         handle = asyncio.Handle(callback, args, self, context or contextvars.copy_context())
         self._scheduler.call_soon(lambda: self._run_handle(handle))
         return handle
@@ -154,7 +161,7 @@
     def call_soon_threadsafe(
         self, callback: Callable[[Unpack[_Ts]], object], *args: *_Ts, context: contextvars.Context | None = None
     ) -> asyncio.Handle:
-        """See asyncio; there are no threads in virtual time."""
+        """Schedule a callback like `call_soon`: there are no threads in virtual time."""
         return self.call_soon(callback, *args, context=context)
 
     def call_later(
@@ -164,7 +171,7 @@
         *args: *_Ts,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """See asyncio; the delay is rounded to microseconds."""
+        """Schedule a callback after a delay in seconds, rounded to microseconds."""
         due_us = self._scheduler.now_us() + max(0, round(delay * 1e6))
         handle = asyncio.TimerHandle(due_us / 1e6, callback, args, self, context or contextvars.copy_context())
         self._scheduler.call_at(due_us, lambda: self._run_handle(handle))
@@ -177,32 +184,32 @@
         *args: *_Ts,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """See asyncio."""
+        """Schedule a callback at a time in seconds, as in asyncio."""
         return self.call_later(when - self.time(), callback, *args, context=context)
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
-        """Called by asyncio; a cancelled timer is passed over when due."""
+        """Do nothing when asyncio cancels a timer: a cancelled timer is skipped when due."""
 
     def create_future(self) -> asyncio.Future[Any]:
-        """See asyncio."""
+        """Create a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Any, *, name: str | None = None, context: Any = None) -> asyncio.Task[Any]:
-        """See asyncio."""
+        """Create a task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self) -> bool:
-        """Asyncio's debug mode is off."""
+        """Return False: asyncio's debug mode is off."""
         return False
 
     def is_running(self) -> bool:
-        """It runs whenever the scheduler does."""
+        """Return True: the loop runs whenever the scheduler does."""
         return True
 
     def is_closed(self) -> bool:
-        """It is never closed."""
+        """Return False: the loop is never closed."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
-        """Keep what asyncio reports, for the run's log."""
+        """Record an error that asyncio reports, for the run's event log."""
         self.unhandled_errors.append(context)
--- a/stoatgw/emulator/virtual/gateway.py
+++ b/stoatgw/emulator/virtual/gateway.py
@@ -1,4 +1,4 @@
-"""The backends as a modelled proxy's controller reaches them: health checks and the endpoint list."""
+"""A modelled proxy's access to its backends: health checks and the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 HEALTH_CHECK_TIMEOUT_US = 500_000
 DIAL_TIMEOUT_US = HEALTH_CHECK_TIMEOUT_US // 2
-REPORT_FIELDS = {"errors_per_s": "eps", "outstanding": "inflight", "utilization": "util", "x0": "x0"}  # by column
+# The field of the server's load report, by the report column of the settings.
+REPORT_FIELDS = {"errors_per_s": "eps", "outstanding": "inflight", "utilization": "util", "x0": "x0"}
 
 
 class VirtualGateway:
-    """Implements the controller's `BackendGateway` before the world model."""
+    """Implements the controller's `BackendGateway` on the world model."""
 
     def __init__(self, world: WorldState, proxy: VirtualProxy, counts: dict[str, int]) -> None:
-        """`counts` are the counters of the run."""
+        """Create the gateway of a proxy; `counts` are the counters of the run."""
         self._world = world
         self._proxy = proxy
         self._counts = counts
@@ -37,43 +38,45 @@
         now_us = world.scheduler.now_us()
         latency_us = world.one_way_latency_us(proxy.zone, model)
         if world.is_unreachable(proxy.zone, model):
-            self._complete(server, AttemptStatus.DIAL_FAILED, now_us, now_us + DIAL_TIMEOUT_US)
+            self._schedule_result(server, AttemptStatus.DIAL_FAILED, now_us, now_us + DIAL_TIMEOUT_US)
         elif model.lifecycle is ServerLifecycle.GONE:
-            self._complete(server, AttemptStatus.DIAL_FAILED, now_us, now_us + 2 * latency_us)
+            self._schedule_result(server, AttemptStatus.DIAL_FAILED, now_us, now_us + 2 * latency_us)
         else:
-            world.scheduler.call_at(now_us + latency_us, partial(self._arrive, model, now_us, latency_us))
+            world.scheduler.call_at(now_us + latency_us, partial(self._handle_at_server, model, now_us, latency_us))
 
-    def _arrive(self, server: ServerModel, sent_us: int, latency_us: int) -> None:
-        """The health check has reached its server."""
+    def _handle_at_server(self, server: ServerModel, sent_us: int, latency_us: int) -> None:
+        """Handle the arrival of a health check at its server."""
         now_us = self._world.scheduler.now_us()
         is_unreachable = self._world.is_unreachable(self._proxy.zone, server)
         if server.lifecycle is ServerLifecycle.GONE or is_unreachable:
-            self._complete(server.name, AttemptStatus.DROPPED, sent_us, now_us + latency_us)
+            self._schedule_result(server.name, AttemptStatus.DROPPED, sent_us, now_us + latency_us)
             return
         received_us = server.handle_health_check(now_us) + latency_us
         if received_us - sent_us > HEALTH_CHECK_TIMEOUT_US:
-            self._complete(server.name, AttemptStatus.EXPIRED, sent_us, sent_us + HEALTH_CHECK_TIMEOUT_US)
+            self._schedule_result(server.name, AttemptStatus.EXPIRED, sent_us, sent_us + HEALTH_CHECK_TIMEOUT_US)
             return
         columns = self._proxy.settings.report_columns
         report = tuple(server.report.get(REPORT_FIELDS[column]) for column in columns)
-        self._complete(server.name, AttemptStatus.DELIVERED, sent_us, received_us, report)
+        self._schedule_result(server.name, AttemptStatus.DELIVERED, sent_us, received_us, report)
 
-    def _complete(
+    def _schedule_result(
         self, server: str, status: AttemptStatus, sent_us: int, received_us: int, report: tuple[float | None, ...] = ()
     ) -> None:
-        """Post the result when it arrives at the proxy."""
+        """Schedule the posting of a result, at the time at which it arrives at the proxy."""
         result = HealthCheckCompleted(server, status, received_us - sent_us, report)
-        self._world.scheduler.call_at(received_us, partial(self._proxy.loop.deliver, partial(self._post, result)))
+        self._world.scheduler.call_at(
+            received_us, partial(self._proxy.loop.deliver, partial(self._post_result, result))
+        )
 
-    def _post(self, result: HealthCheckCompleted) -> None:
+    def _post_result(self, result: HealthCheckCompleted) -> None:
         self._proxy.pending_health_checks.discard(result.server)
         self._proxy.controller.post(result)
 
     def close_idle(self, server: str) -> None:
-        """Idle health check connections are not modelled."""
+        """Do nothing: idle health check connections are not modelled."""
 
     def fetch_endpoints(self) -> None:
-        """Post the full list as the proxy knows it."""
+        """Post the full endpoint list that the proxy knows."""
         proxy = self._proxy
         endpoints = to_endpoints(self._world.discovery.known_endpoints[proxy.index].values())
         proxy.controller.post(EndpointsUpdated(EndpointUpdate(EndpointUpdateKind.SNAPSHOT, 0, endpoints)))
--- a/stoatgw/emulator/virtual/latency_monitor.py
+++ b/stoatgw/emulator/virtual/latency_monitor.py
@@ -1,4 +1,4 @@
-"""Message latencies that a proxy observes on its sessions, as the real session monitor reports them."""
+"""Reports the message latencies of a modelled proxy's sessions, as the real latency monitor does."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from stoatgw.emulator.world.world_state import WorldState
 
 OBSERVE_INTERVAL_US = 1_000_000
-PHASE_STEP_US = 1013  # proxies observe at phases of their own
-REPORTED_OBJECTIVE_SHARE = 3  # latencies over a third of the shortest objective are reported
+PHASE_STEP_US = 1013  # added per proxy index, so that proxies observe at different times
+REPORT_THRESHOLD_DIVISOR = 3  # latencies over a third of the shortest latency objective are reported
 
 
 class LatencyMonitor:
-    """Reports high message latencies to a proxy's controller, once an interval."""
+    """Reports high message latencies to a proxy's controller, once per interval."""
 
     def __init__(self, world: WorldState, proxy: VirtualProxy) -> None:
         self._world = world
         self._proxy = proxy
-        self._reported_ms = min(world.latency_objectives_s) * 1e3 / REPORTED_OBJECTIVE_SHARE
+        self._report_threshold_ms = min(world.latency_objectives_s) * 1e3 / REPORT_THRESHOLD_DIVISOR
 
     def start(self) -> None:
         """Schedule the first observation."""
@@ -45,20 +45,20 @@
             latency_ms = self._draw_latency_ms(name)
             if latency_ms is None:
                 continue
-            if latency_ms > self._reported_ms:
+            if latency_ms > self._report_threshold_ms:
                 slow_servers.add(name)
-            if latency_ms > self._reported_ms or name in proxy.slow_servers:
+            if latency_ms > self._report_threshold_ms or name in proxy.slow_servers:
                 proxy.controller.post(SessionMetricObserved(session.request_state, SessionMetricKind.DELAY, latency_ms))
         proxy.slow_servers = slow_servers
 
     def _draw_latency_ms(self, server_name: str) -> float | None:
-        """A server's message latency of now; None if no message was answered in the last interval."""
+        """Draw a server's current message latency; None if no message was answered in the last interval."""
         proxy = self._proxy
         server = self._world.servers[server_name]
         is_unreachable = self._world.is_unreachable(proxy.zone, server)
         if server.lifecycle is not ServerLifecycle.SERVING or is_unreachable:
             return None
-        # Some message was answered within the last second, unless all its clients were quiet.
+        # A message was answered within the last second, unless none of this proxy's clients at the server sent one.
         message_interval_s = self._world.scenario.clients.line_every_s
         all_quiet_probability = max(0.0, 1.0 - 1.0 / message_interval_s) ** len(proxy.established[server_name])
         if proxy.random.next() < all_quiet_probability:
--- a/stoatgw/emulator/virtual/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -1,7 +1,7 @@
-"""Policies that a run is measured against: random choice (the floor), and one that sees the true state (the top).
+"""Baseline policies for comparison: random placement (`floor`), and placement by the servers' true state (`top`).
 
-Both keep the rules: nothing to a server that the list does not call ready, one attempt at a time. The omniscient policy
-places by the true load of this moment; it is no upper bound in the strict sense.
+Both keep the rules: requests are sent only to servers that are ready in the endpoint list, and one attempt at a time.
+The omniscient policy places by the true current load; it is not a strict upper bound.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 
 MAX_ATTEMPTS = 2
 RETRY_AFTER_US = 1_000_000
-ANSWER_MARGIN_US = 50_000  # before the deadline
-RANDOM_POLICY_UNITS = 2.0  # load that the random policy expects of a session
+ANSWER_MARGIN_US = 50_000  # time before the deadline at which the answer is sent
+EXPECTED_SESSION_UNITS = 2.0  # load expected of a session: by the random policy, and of each set-up in progress
 REBALANCE_INTERVAL_US = 250_000
-REBALANCE_PHASE_STEP_US = 7_919
-MAX_UTILIZATION = 0.85  # the omniscient policy migrates sessions off a server over this
-SPARE_UTILIZATION = 0.2  # below that limit a server can take migrated sessions
-MAX_FILL = 0.8  # the omniscient policy fills a server up to this utilization
-LOW_PRIORITY_FILL_REDUCTION = 0.35  # for a session without any priority weight
-REMOTE_ZONE_COST = 0.05  # utilization that a server of another zone counts as fuller
-WARM_UP_SHARE = 0.5  # of a server's slow-start budget that these policies use
-MAX_CANDIDATES = 64  # of a large fleet the best of a sample is nearly as good as the best
+REBALANCE_PHASE_STEP_US = 7_919  # added per proxy rank, so that proxies rebalance at different times
+MAX_UTILIZATION = 0.85  # the omniscient policy migrates sessions off servers over this
+SPARE_UTILIZATION_MARGIN = 0.2  # a server this far below the limit can receive migrated sessions
+MAX_PLACEMENT_UTILIZATION = 0.8  # up to which the omniscient policy places sessions on a server
+LOW_PRIORITY_UTILIZATION_REDUCTION = 0.35  # of that limit, for a session with a priority weight of 0
+REMOTE_ZONE_COST = 0.05  # added to the utilization of a server in another zone
+WARM_UP_BUDGET_SHARE = 0.5  # share of a server's slow-start budget that these policies use
+MAX_CANDIDATES = 64  # of a large fleet, the best of a random sample is nearly as good as the best of all
 
 
 @dataclass(slots=True)
 class _PendingRequest:
     request: api.Request
     deadline_us: int
-    tried: list[str] = field(default_factory=list)
+    tried_servers: list[str] = field(default_factory=list)
 
 
 class PlacementPolicy:
-    """What both policies share: the endpoint list, attempts and answers."""
+    """The base class of both policies, which handles the endpoint list, attempts and answers."""
 
     def __init__(self, world: WorldState, settings: api.Settings, seed: int) -> None:
         self._world = world
         self._settings = settings
         self._random = random.Random(seed)
-        self._ready: dict[str, api.Endpoint] = {}
+        self._ready_endpoints: dict[str, api.Endpoint] = {}
         self._pending: dict[str, _PendingRequest] = {}
         self._established: set[str] = set()
 
     def start(self, now_us: int) -> list[api.Action]:
-        """Nothing to do at the start."""
+        """Return no actions."""
         return []
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
-        """Take one event; gives what to do."""
+        """Handle an event and return the resulting actions, in order."""
         match event:
             case api.EndpointUpdate():
                 self._update_endpoints(event)
@@ -72,11 +72,11 @@
 
     def _update_endpoints(self, update: api.EndpointUpdate) -> None:
         if update.kind in (EndpointUpdateKind.SNAPSHOT, EndpointUpdateKind.CACHED):
-            self._ready.clear()
+            self._ready_endpoints.clear()
         for endpoint in update.endpoints:
-            self._ready.pop(endpoint.name, None)
+            self._ready_endpoints.pop(endpoint.name, None)
             if endpoint.lifecycle is Lifecycle.ACTIVE:
-                self._ready[endpoint.name] = endpoint
+                self._ready_endpoints[endpoint.name] = endpoint
 
     def _handle_outcome(self, outcome: api.AttemptOutcome, now_us: int) -> list[api.Action]:
         was_established = outcome.request_id in self._established
@@ -88,19 +88,19 @@
         return []
 
     def _place(self, request_id: str, now_us: int) -> list[api.Action]:
-        """Send to the selected server, or reject the request."""
+        """Return the action that sends the request to the selected server, or rejects it."""
         pending = self._pending[request_id]
-        left_us = pending.deadline_us - now_us - ANSWER_MARGIN_US
+        remaining_us = pending.deadline_us - now_us - ANSWER_MARGIN_US
         server = None
-        if len(pending.tried) < MAX_ATTEMPTS and left_us > 0:
-            candidates = [name for name in self._ready if name not in pending.tried]
+        if len(pending.tried_servers) < MAX_ATTEMPTS and remaining_us > 0:
+            candidates = [name for name in self._ready_endpoints if name not in pending.tried_servers]
             server = self._select_server(pending.request, candidates, now_us)
         if server is None:
             del self._pending[request_id]
             return [api.Reject(request_id, self._retry_after_us())]
-        pending.tried.append(server)
-        is_last = len(pending.tried) == MAX_ATTEMPTS
-        return [api.Send(request_id, server, now_us + (left_us if is_last else left_us // 2))]
+        pending.tried_servers.append(server)
+        is_last_attempt = len(pending.tried_servers) == MAX_ATTEMPTS
+        return [api.Send(request_id, server, now_us + (remaining_us if is_last_attempt else remaining_us // 2))]
 
     def _retry_after_us(self) -> int:
         if not self._settings.can_advise_retry_after:
@@ -111,44 +111,45 @@
         raise NotImplementedError
 
     def _is_within_warm_up_budget(self, server: ServerModel, units: float, now_us: int) -> bool:
-        """Whether a server in slow start can take a session, seen over all proxies: the budget is a rule."""
+        """Report whether a server in slow start has budget left for a session, counted over all proxies."""
         if server.warm_up_fraction(now_us) >= 1.0:
             return True
         spent_units = server.warm_up_budget.spent_units(now_us)
-        in_flight_units = server.setups_in_progress * RANDOM_POLICY_UNITS
-        return spent_units + in_flight_units + units <= WARM_UP_SHARE * server.max_warm_up_units(now_us)
+        in_flight_units = server.setups_in_progress * EXPECTED_SESSION_UNITS
+        return spent_units + in_flight_units + units <= WARM_UP_BUDGET_SHARE * server.max_warm_up_units(now_us)
 
 
 class RandomPolicy(PlacementPolicy):
-    """Random choice among the ready servers."""
+    """Selects a random ready server."""
 
     def _select_server(self, request: api.Request, candidates: list[str], now_us: int) -> str | None:
         while candidates:
             name = candidates.pop(int(self._random.random() * len(candidates)))
-            if self._is_within_warm_up_budget(self._world.servers[name], RANDOM_POLICY_UNITS, now_us):
+            if self._is_within_warm_up_budget(self._world.servers[name], EXPECTED_SESSION_UNITS, now_us):
                 return name
         return None
 
 
 class OmniscientPolicy(PlacementPolicy):
-    """The server that would be least utilized with this session, by its true state.
+    """Selects the server that would be least utilized with the session, by the servers' true state.
 
-    Four times a second it migrates sessions off servers over `MAX_UTILIZATION`, the heaviest for their priority weight
-    first, as long as another server has capacity; low priority is rejected before high.
+    Four times a second it migrates sessions off servers over `MAX_UTILIZATION`, while another server has capacity;
+    sessions with the highest load per priority weight first. Requests of low priority are rejected before those of high
+    priority.
     """
 
     def __init__(self, world: WorldState, settings: api.Settings, seed: int) -> None:
         super().__init__(world, settings, seed)
-        self._sessions: dict[str, dict[str, api.Request]] = {}  # established, by server
-        self._server_of: dict[str, str] = {}  # by request
+        self._requests_by_server: dict[str, dict[str, api.Request]] = {}  # of established sessions
+        self._server_by_request: dict[str, str] = {}  # of established sessions
         self._max_weight = max(profile.worth for profile in settings.profiles) or 1.0
 
     def start(self, now_us: int) -> list[api.Action]:
-        """Schedule the first rebalancing, at a phase of this proxy's own."""
+        """Schedule the first rebalancing, at a phase that depends on the proxy's rank."""
         return [api.SetTimer(now_us + REBALANCE_INTERVAL_US + REBALANCE_PHASE_STEP_US * self._settings.rank, 0)]
 
     def handle(self, event: api.Event, now_us: int) -> list[api.Action]:
-        """Take one event; gives what to do."""
+        """Handle an event and return the resulting actions, in order."""
         match event:
             case api.TimerExpired():
                 return [api.SetTimer(now_us + REBALANCE_INTERVAL_US, 0), *self._rebalance()]
@@ -157,37 +158,39 @@
             case api.SessionRestored():
                 self._add_session(event.request, event.server)
             case api.AttemptOutcome():
-                server = self._server_of.pop(event.request_id, None)
+                server = self._server_by_request.pop(event.request_id, None)
                 if server is not None:
-                    del self._sessions[server][event.request_id]
+                    del self._requests_by_server[server][event.request_id]
         return super().handle(event, now_us)
 
     def _add_session(self, request: api.Request, server: str) -> None:
-        self._server_of[request.request_id] = server
-        self._sessions.setdefault(server, {})[request.request_id] = request
+        self._server_by_request[request.request_id] = server
+        self._requests_by_server.setdefault(server, {})[request.request_id] = request
 
     def _rebalance(self) -> list[api.Action]:
-        """Migrate sessions off overloaded servers, at most as many servers as have capacity elsewhere."""
+        """Migrate sessions off overloaded servers, at most as many as there are servers with spare capacity."""
         servers = self._world.servers
         overloaded = [
             name
-            for name, sessions in self._sessions.items()
+            for name, sessions in self._requests_by_server.items()
             if sessions and servers[name].utilization > MAX_UTILIZATION
         ]
-        spare_limit = MAX_UTILIZATION - SPARE_UTILIZATION
-        spare_count = sum(1 for server in self._world.serving_servers() if server.utilization < spare_limit)
+        max_spare_utilization = MAX_UTILIZATION - SPARE_UTILIZATION_MARGIN
+        spare_server_count = sum(
+            1 for server in self._world.serving_servers() if server.utilization < max_spare_utilization
+        )
         migrations: list[api.Action] = []
-        for name in overloaded[:spare_count]:
+        for name in overloaded[:spare_server_count]:
             if servers[name].lifecycle is ServerLifecycle.SERVING:
-                migrations += self._relieve(servers[name])
+                migrations += self._migrate_excess_sessions(servers[name])
         return migrations
 
-    def _relieve(self, server: ServerModel) -> list[api.Action]:
-        """Migrate own sessions until the server is a little under the limit."""
-        by_weight = sorted(
+    def _migrate_excess_sessions(self, server: ServerModel) -> list[api.Action]:
+        """Migrate this proxy's sessions off the server until its utilization is a little under the limit."""
+        by_load_per_weight = sorted(
             (
                 (server.connections[request_id].load_units / (0.1 + self._relative_weight(request)), request_id)
-                for request_id, request in self._sessions[server.name].items()
+                for request_id, request in self._requests_by_server[server.name].items()
                 if request_id in server.connections
             ),
             reverse=True,
@@ -196,7 +199,7 @@
         excess_units = excess_share * server.total_load_units
         migrated_units = 0.0
         migrations: list[api.Action] = []
-        for _, request_id in by_weight:
+        for _, request_id in by_load_per_weight:
             units = server.connections[request_id].load_units
             if migrated_units + units <= excess_units * 1.2:
                 migrated_units += units
@@ -206,13 +209,15 @@
         return migrations
 
     def _relative_weight(self, request: api.Request) -> float:
-        """Priority weight, relative to the highest."""
+        """Return the priority weight of a request, relative to the highest."""
         return self._settings.profiles[request.request_class].worth / self._max_weight
 
     def _select_server(self, request: api.Request, candidates: list[str], now_us: int) -> str | None:
         if len(candidates) > MAX_CANDIDATES:
             candidates = self._random.sample(candidates, MAX_CANDIDATES)
-        max_cost = MAX_FILL - LOW_PRIORITY_FILL_REDUCTION * (1.0 - self._relative_weight(request))
+        max_cost = MAX_PLACEMENT_UTILIZATION - LOW_PRIORITY_UTILIZATION_REDUCTION * (
+            1.0 - self._relative_weight(request)
+        )
         selected = None
         selected_cost = float("inf")
         for name in candidates:
@@ -234,10 +239,10 @@
 
 
 def random_policy(world: WorldState) -> PolicyFactory:
-    """The floor of the comparison."""
+    """Build the random policy, the lower baseline of comparisons."""
     return lambda settings, seed: RandomPolicy(world, settings, seed)
 
 
 def omniscient_policy(world: WorldState) -> PolicyFactory:
-    """The top of the comparison."""
+    """Build the omniscient policy, the upper baseline of comparisons."""
     return lambda settings, seed: OmniscientPolicy(world, settings, seed)
--- a/stoatgw/emulator/virtual/proxy.py
+++ b/stoatgw/emulator/virtual/proxy.py
@@ -16,26 +16,26 @@
 
 
 class HostedSession(Protocol):
-    """A session as its proxy's process and the servers affect it."""
+    """A session, as its proxy's process and the servers see it."""
 
     name: str
     request_state: RequestState
-    server: ServerModel | None  # of an attempt in flight, or of the established session
+    server: ServerModel | None  # of the attempt in flight, or of the established session
     is_known_to_controller: bool
 
-    def server_ended(self, how: str, status: AttemptStatus) -> None:
-        """Its server closed the connection, or died."""
+    def server_ended(self, end_kind: str, status: AttemptStatus) -> None:
+        """Handle the end of the connection by the server, or of the server's process."""
 
-    def lose_server(self) -> None:
-        """Nothing arrives from its server any more."""
+    def mark_server_unreachable(self) -> None:
+        """Handle that nothing more is received from the server."""
 
-    def proxy_ended(self, how: str) -> None:
-        """The proxy's process was stopped or killed."""
+    def proxy_ended(self, end_kind: str) -> None:
+        """Handle the end of the proxy's process; `end_kind` is `stopped` or `killed`."""
 
 
 @dataclass(eq=False)
 class VirtualProxy:
-    """One modelled proxy process; a restart makes a new one under the same name."""
+    """One modelled proxy process; a restart creates a new one with the same name."""
 
     index: int
     name: str
@@ -50,4 +50,4 @@
     sessions: dict[str, HostedSession] = field(default_factory=dict)
     established: dict[str, dict[str, HostedSession]] = field(default_factory=dict)  # by server
     pending_health_checks: set[str] = field(default_factory=set)
-    slow_servers: set[str] = field(default_factory=set)  # of which the controller was told a high latency
+    slow_servers: set[str] = field(default_factory=set)  # whose high latency was reported to the controller last time
--- a/stoatgw/emulator/virtual/proxy_processes.py
+++ b/stoatgw/emulator/virtual/proxy_processes.py
@@ -1,4 +1,4 @@
-"""The modelled proxy processes: started, restarted by SIGTERM, killed and frozen."""
+"""The modelled proxy processes: their start, restart by SIGTERM, kill and freeze."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 from stoatgw.telemetry.counters import Counters
 from stoatgw.telemetry.log import EventLog
 
-ADMISSION_AFTER_SIGTERM_US = (200_000, 400_000)  # new clients still come for so long
+ADMISSION_AFTER_SIGTERM_US = (200_000, 400_000)  # range of the time for which new clients still connect after SIGTERM
 DRAIN_POLL_INTERVAL_US = 20_000
-ADMISSION_DELAY_US = 100_000  # from a proxy's start to its first client
-MAX_FAULT_TEXT = 200
+ADMISSION_DELAY_US = 100_000  # from a proxy's restart until it admits clients
+MAX_FAULT_TEXT_LENGTH = 200
 PROGRAM_FAULT_EVENTS = ("decision_crashed", "recovery_failed")
 
 
 class ProgramFaultLog(EventLog):
-    """A proxy's log: faults of the program go into the run's event log, all else is dropped."""
+    """A proxy's log that records faults of the program in the run's event log, and drops all other events."""
 
     def __init__(self, proxy_name: str, world: WorldState) -> None:
         super().__init__(proxy_name)
@@ -40,19 +40,23 @@
         self._world = world
 
     def event(self, event: str, **fields: object) -> None:
-        """Record one event."""
+        """Record an event if it is a fault of the program."""
         if event in PROGRAM_FAULT_EVENTS:
-            detail = f"{event}: {str(fields.get('error'))[:MAX_FAULT_TEXT]}"
+            detail = f"{event}: {str(fields.get('error'))[:MAX_FAULT_TEXT_LENGTH]}"
             self._world.log(EventKind.PROGRAM_FAULT, self._proxy_name, detail=detail)
 
 
 class ProxyProcesses:
-    """All proxies of a run; `proxies` has the current process of each."""
+    """All proxies of a run.
+
+    Attributes:
+        proxies: The current process of each proxy, by index.
+    """
 
     def __init__(
         self, population: ClientPopulation[Any], scheduler: VirtualScheduler, make_policy: PolicyFactory
     ) -> None:
-        """`population` is the load balancer before the proxies: it is told which of them admit clients."""
+        """Create the proxies; `population` includes the load balancer before them, told which of them admit clients."""
         self._population = population
         self._world = population.world
         self._scheduler = scheduler
@@ -92,7 +96,7 @@
             index=index,
             name=name,
             zone=world.proxy_zone(index),
-            loop=ProcessEventLoop(self._scheduler),  # type: ignore[abstract]  # it has only what the controller uses
+            loop=ProcessEventLoop(self._scheduler),  # type: ignore[abstract]  # implements only what the controller uses
             controller=Controller(settings, seed, self._clock, log, Counters(), self._make_policy),
             backends=BackendRegistry(),
             settings=settings,
@@ -110,7 +114,7 @@
     # Restart by SIGTERM.
 
     def restart(self, index: int) -> None:
-        """SIGTERM, the drain, the end, and a new start some time later."""
+        """Send SIGTERM to a process, which drains and ends, and start a new one some time later."""
         proxy = self.proxies[index]
         if proxy.has_ended:
             return
@@ -133,35 +137,37 @@
         if proxy.sessions and now_us < until_us:
             self._scheduler.call_at(now_us + DRAIN_POLL_INTERVAL_US, partial(self._poll_drained, proxy, until_us))
             return
-        restart_range_s = self._world.scenario.proxies.restart_s
-        self._end(proxy, "stopped", int(self._population.load_balancer_random.between(*restart_range_s) * 1e6))
+        restart_delay_range_s = self._world.scenario.proxies.restart_s
+        self._end(proxy, "stopped", int(self._population.load_balancer_random.between(*restart_delay_range_s) * 1e6))
 
     # Kill.
 
     def kill(self, index: int, restart_delay_us: int) -> None:
-        """End a process at once; it starts again after `restart_delay_us`."""
+        """End a process at once; a new one starts after `restart_delay_us`."""
         proxy = self.proxies[index]
         if proxy.has_ended:
             return
         self._end(proxy, "killed", restart_delay_us)
-        notice_range_s = self._world.scenario.proxies.notice_s
-        wait_us = int(self._population.load_balancer_random.between(*notice_range_s) * 1e6)
-        self._scheduler.call_at(self._scheduler.now_us() + wait_us, partial(self._notice_end, index))
+        detection_delay_range_s = self._world.scenario.proxies.notice_s
+        detection_delay_us = int(self._population.load_balancer_random.between(*detection_delay_range_s) * 1e6)
+        self._scheduler.call_at(self._scheduler.now_us() + detection_delay_us, partial(self._detect_end, index))
 
-    def _notice_end(self, index: int) -> None:
-        """The load balancer notices a dead proxy, unless it is back by then."""
+    def _detect_end(self, index: int) -> None:
+        """Let the load balancer stop sending clients to an ended proxy, unless it has restarted by then."""
         if self.proxies[index].has_ended:
             self._stop_admission(index)
 
-    def _end(self, proxy: VirtualProxy, how: str, restart_delay_us: int) -> None:
+    def _end(self, proxy: VirtualProxy, end_kind: str, restart_delay_us: int) -> None:
         proxy.has_ended = True
         proxy.loop.kill()
         for session in list(proxy.sessions.values()):
-            session.proxy_ended(how)
-        self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail=how)
-        self._scheduler.call_at(self._scheduler.now_us() + restart_delay_us, partial(self._start_again, proxy.index))
+            session.proxy_ended(end_kind)
+        self._world.log(EventKind.PROXY_STATE_CHANGED, proxy.name, detail=end_kind)
+        self._scheduler.call_at(
+            self._scheduler.now_us() + restart_delay_us, partial(self._start_replacement, proxy.index)
+        )
 
-    def _start_again(self, index: int) -> None:
+    def _start_replacement(self, index: int) -> None:
         self.proxies[index] = self._start(index)
         self._scheduler.call_at(self._scheduler.now_us() + ADMISSION_DELAY_US, partial(self._admit, index))
 
@@ -171,7 +177,7 @@
     # Freeze by SIGSTOP.
 
     def freeze(self, index: int, freeze_us: int) -> None:
-        """Stop a process for a time."""
+        """Freeze a process for a time."""
         proxy = self.proxies[index]
         if proxy.has_ended or proxy.loop.is_frozen:
             return
@@ -197,7 +203,7 @@
     # The end of the run.
 
     def log_leaks_and_faults(self) -> None:
-        """Record the requests that controllers still have though they are over, and what asyncio reported."""
+        """Log the number of ended requests that each controller still has, and the errors that asyncio reported."""
         for proxy in self.proxies:
             if proxy.has_ended:
                 continue
@@ -205,7 +211,7 @@
             leaked = max(0, proxy.controller.open_requests - open_sessions)
             self._world.log(EventKind.REQUESTS_LEAKED, proxy.name, number=leaked)
             for error in proxy.loop.unhandled_errors:
-                detail = str(error.get("exception", error))[:MAX_FAULT_TEXT]
+                detail = str(error.get("exception", error))[:MAX_FAULT_TEXT_LENGTH]
                 self._world.log(EventKind.PROGRAM_FAULT, proxy.name, detail=detail)
 
 
