--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -372,7 +372,7 @@
 def test_all_proxies_together_keep_the_slow_start_budget_within_statistical_deviation(
     name: str, count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The operators accept an excess of 2 * sqrt(N) + 2 units over a budget of N. In fleet-herd 28 proxies are killed."""
+    """The operators treat an excess of 2 * sqrt(N) + 2 units over a budget N as chance. fleet-herd kills 28 proxies."""
     monkeypatch.setattr(
         "stoatgw.emulator.world.warm_up.MIN_WARM_UP_EXCESS_UNITS", 1e9
     )  # no server collapses, so that all requests sent to it are counted
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real proxies: drawn ends, failing calls, signals and restarts. `tests/soak.py` plays longer ones."""
+"""A short soak of real proxies: random session ends, failing calls, signals and restarts; see `tests/soak.py`."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import pytest
 
-from tests.soak import play
+from tests.soak import run_seed
 
 
-@pytest.mark.parametrize("seed", [1, 3])  # without a crowd, and with one
-def test_no_client_sees_what_it_should_not(seed: int) -> None:
-    findings = asyncio.run(play(seed))
+@pytest.mark.parametrize("seed", [1, 3])  # without and with idle connections
+def test_a_short_soak_has_no_findings(seed: int) -> None:
+    findings = asyncio.run(run_seed(seed))
     assert findings.texts == []
     assert findings.counts["UP"] > 0
     assert findings.counts["moved"] > 0
