--- a/stoatgw/emulator/virtual/proxy_processes.py
+++ b/stoatgw/emulator/virtual/proxy_processes.py
@@ -56,7 +56,7 @@
     def __init__(
         self, population: ClientPopulation[Any], scheduler: VirtualScheduler, make_policy: PolicyFactory
     ) -> None:
-        """Create the proxies; `population` includes the load balancer before them, told which of them admit clients."""
+        """Create the proxies; `population` also models the load balancer that sends clients to them."""
         self._population = population
         self._world = population.world
         self._scheduler = scheduler
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -9,7 +9,7 @@
 - An attempt: there a task that waits on a socket, here (`attempt_model.py`) scheduled events that are ignored once it
   has ended. `refuse_establishment` is therefore not called here: after the end of a session no event can establish it.
 - Migration: lines are not modelled, so MOVE never waits for the end of one.
-- The time until an unresponsive server is abandoned: 5 s here and 4 s in `SessionMonitor`, and drawn, not polled.
+- The time until an unresponsive server is abandoned: 5 s here and 4 s in `SessionMonitor`; random here, polled there.
 """
 
 from __future__ import annotations
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -36,7 +36,7 @@
 DEADLINE_S = 2.0
 ANSWER_GRACE_S = 0.5
 ADMISSION_AFTER_SIGTERM_S = 0.3  # time after SIGTERM for which new clients still connect
-MAX_LAG_S = 4.0  # ends are normally relayed at once; one that takes longer was not relayed at all
+MAX_LAG_S = 4.0  # ends are normally relayed at once; only one that is never relayed takes longer
 LINGER_RESET = struct.pack("ii", 1, 0)
 FAULT_COUNTERS = ("ends_unread", "sessions_crashed", "attempts_crashed", "session_monitor_failures", "watches_crashed")
 
