--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -144,8 +144,8 @@
     @property
     def load_line_kind(self) -> SessionMetricKind:
         """The metric that a server's LOAD lines report, which only the settings determine: see docs/status.md."""
-        if self.deployment.reports_message_delay and not self.deployment.reports_session_load:
-            return SessionMetricKind.DELAY
+        if self.deployment.reports_message_latency and not self.deployment.reports_session_load:
+            return SessionMetricKind.LATENCY
         return SessionMetricKind.LOAD
 
     def sessions_by_server(self) -> Iterator[tuple[str, list[EstablishedSession]]]:
--- a/stoatgw/clients/session_monitor.py
+++ b/stoatgw/clients/session_monitor.py
@@ -58,7 +58,7 @@
                 self._context.counters.add("sessions_unanswered")
                 session.latency.pending.clear()
                 session.relay.abandon_server()
-        if reports_latency and self._context.deployment.reports_message_delay:
+        if reports_latency and self._context.deployment.reports_message_latency:
             self._report_latencies(now_us)
 
     def _report_latencies(self, now_us: int) -> None:
@@ -72,6 +72,6 @@
                 self._context.counters.add("latencies_reported")
             if is_slow or server in self._reported_servers:
                 self._context.controller.post(
-                    SessionMetricObserved(sessions[0].state, SessionMetricKind.DELAY, latency_ms)
+                    SessionMetricObserved(sessions[0].state, SessionMetricKind.LATENCY, latency_ms)
                 )
         self._reported_servers = slow_servers
--- a/stoatgw/config/deployment.py
+++ b/stoatgw/config/deployment.py
@@ -49,7 +49,7 @@
         machine_types: Machine types by index.
         dial_timeout_us: Timeout of a connect to a session server, greater than 0.
         idle_timeout_us: How long an unused server connection is kept, greater than 0.
-        reports_message_delay: Whether message delays are measured for the decisions.
+        reports_message_latency: Whether message latencies are measured for the decisions.
         reports_session_load: Whether session loads are measured for the decisions.
         management_address: Address of the management API; None disables the API.
     """
@@ -65,7 +65,7 @@
     machine_types: tuple[str, ...]
     dial_timeout_us: int
     idle_timeout_us: int
-    reports_message_delay: bool
+    reports_message_latency: bool
     reports_session_load: bool
     management_address: Address | None = None
 
@@ -119,7 +119,7 @@
         machine_types=_parse_names(raw_settings, "kinds"),
         dial_timeout_us=_parse_duration_us(pairs, "bounds.dial_timeout_us", DEFAULT_DIAL_TIMEOUT_US),
         idle_timeout_us=_parse_duration_us(pairs, "bounds.conn_idle_us", DEFAULT_IDLE_TIMEOUT_US),
-        reports_message_delay=pairs.get("domain.tells_delay") == "true",
+        reports_message_latency=pairs.get("domain.tells_delay") == "true",
         reports_session_load=pairs.get("domain.tells_load") == "true",
         management_address=(
             parse_address(_require(data, "management", str), "management") if data.get("management") else None
--- a/stoatgw/decisions/balancer.py
+++ b/stoatgw/decisions/balancer.py
@@ -95,7 +95,7 @@
 
     def _on_session_metric(self, event: api.SessionMetric) -> None:
         server = self._context.fleet.servers.get(event.server)
-        if server is not None and event.kind is api.SessionMetricKind.DELAY:
+        if server is not None and event.kind is api.SessionMetricKind.LATENCY:
             overload.check_message_latency(self._context, server, event.value)
 
     def _on_endpoint_update(self, event: api.EndpointUpdate) -> None:
--- a/stoatgw/decisions/events.py
+++ b/stoatgw/decisions/events.py
@@ -48,7 +48,7 @@
     """What a session metric measures: the load of the session, or the latency of a message."""
 
     LOAD = 1
-    DELAY = 2
+    LATENCY = 2
 
 
 @dataclass(frozen=True, slots=True)
--- a/stoatgw/emulator/virtual/latency_monitor.py
+++ b/stoatgw/emulator/virtual/latency_monitor.py
@@ -48,7 +48,9 @@
             if latency_ms > self._report_threshold_ms:
                 slow_servers.add(name)
             if latency_ms > self._report_threshold_ms or name in proxy.slow_servers:
-                proxy.controller.post(SessionMetricObserved(session.request_state, SessionMetricKind.DELAY, latency_ms))
+                proxy.controller.post(
+                    SessionMetricObserved(session.request_state, SessionMetricKind.LATENCY, latency_ms)
+                )
         proxy.slow_servers = slow_servers
 
     def _draw_latency_ms(self, server_name: str) -> float | None:
--- a/stoatgw/simulator_wire/decoder.py
+++ b/stoatgw/simulator_wire/decoder.py
@@ -34,7 +34,7 @@
 OPTION_MID_FLOW = 8
 OPTION_RETURNING = 16
 
-METRIC_KINDS = {1: SessionMetricKind.LOAD, 2: SessionMetricKind.DELAY}  # by topic; other topics are ignored
+METRIC_KINDS = {1: SessionMetricKind.LOAD, 2: SessionMetricKind.LATENCY}  # by topic; other topics are ignored
 NO_PAGE = -1
 
 
--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -139,7 +139,7 @@
 
     def report_latency(self, request_id: str, server: str, latency_ms: float) -> list[Action]:
         """Handle a message latency."""
-        return self.handle(SessionMetric(request_id, 0, server, SessionMetricKind.DELAY, latency_ms))
+        return self.handle(SessionMetric(request_id, 0, server, SessionMetricKind.LATENCY, latency_ms))
 
     def actions_of(self, kind: type[ActionT]) -> list[ActionT]:
         """Return the last actions that are of one type."""
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -143,7 +143,7 @@
 
 def test_the_configuration_is_parsed() -> None:
     deployment: Deployment = parse_deployment(CONFIG)
-    assert (deployment.seed, deployment.zones, deployment.reports_message_delay) == (31, ("a", "b"), True)
+    assert (deployment.seed, deployment.zones, deployment.reports_message_latency) == (31, ("a", "b"), True)
     assert [profile.name for profile in deployment.settings.profiles] == ["chat", "view"]
     assert deployment.settings.profiles[1].message_aim_us == float("inf")
     assert deployment.settings.report_columns == ("outstanding", "x0")
--- a/tests/test_properties.py
+++ b/tests/test_properties.py
@@ -193,7 +193,7 @@
             request_id = self.draw.draw(st.sampled_from(established))
             server = self.requests[request_id].attempts[-1].server
             latency_ms = self.draw.draw(NUMBER | st.floats(50, 5000))
-            self.check(self.harness.handle(SessionMetric(request_id, 0, server, SessionMetricKind.DELAY, latency_ms)))
+            self.check(self.harness.handle(SessionMetric(request_id, 0, server, SessionMetricKind.LATENCY, latency_ms)))
 
     def end_period(self, _: InFlight) -> None:
         self.check(self.harness.advance_period(0))
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -395,7 +395,7 @@
 @pytest.mark.parametrize(
     ("reports_delay", "reports_load", "kind"),
     [
-        (True, False, SessionMetricKind.DELAY),
+        (True, False, SessionMetricKind.LATENCY),
         (False, False, SessionMetricKind.LOAD),
         (True, True, SessionMetricKind.LOAD),
     ],
