--- a/stoatgw/backends/attempt.py
+++ b/stoatgw/backends/attempt.py
@@ -224,14 +224,14 @@
         return self._splitter.receive_data(data)
 
     def _accept_up(self, lines: list[bytes]) -> bool:
-        """Report whether the first reply is UP, which establishes the session."""
+        """Return whether the first reply is UP, which establishes the session."""
         if parse_reply(lines[0]).keyword is not Keyword.UP:
             return False
         self.stage = AttemptStage.ESTABLISHED
         return True
 
     def _has_unread_up(self) -> bool:
-        """Report whether UP was received after all when the wait for it timed out.
+        """Return whether UP was received after all when the wait for it timed out.
 
         Both may happen in one iteration of the event loop; closing the connection would break an established session.
         """
--- a/stoatgw/backends/backend.py
+++ b/stoatgw/backends/backend.py
@@ -37,7 +37,7 @@
         return self.host.encode(), self.port
 
     def accepts_new_sessions(self, now_us: int, drain_grace_us: int) -> bool:
-        """Report whether a request may still be sent: the backend is active, or its drain grace has not ended."""
+        """Return whether a request may still be sent: the backend is active, or its drain grace has not ended."""
         if self.draining_since_us is None:
             return True
         return now_us < self.draining_since_us + drain_grace_us - DRAIN_GRACE_MARGIN_US
--- a/stoatgw/backends/health_check.py
+++ b/stoatgw/backends/health_check.py
@@ -177,7 +177,7 @@
 
 
 def _has_ended(sock: socket.socket) -> bool:
-    """Report whether an idle connection was closed, or contains bytes that reply to no request."""
+    """Return whether an idle connection was closed, or contains bytes that reply to no request."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
--- a/stoatgw/clients/context.py
+++ b/stoatgw/clients/context.py
@@ -99,7 +99,7 @@
         counters: Incremented by the code that observes the event.
         log: Written by the code that observes the event.
         rate_limited_log: The same log, for events that misbehaving clients could cause without limit.
-        descriptor_limiter: Owned by this package; hot restart tells it the descriptors of sibling processes.
+        descriptor_limiter: Owned by this package; hot restart sets the number of descriptors of sibling processes.
         request_ids: Owned by this package: request readers register ids, sessions mark them as ended.
         established_sessions: By request id. Owned by this package: an attempt adds its session and removes it again;
             the session monitor, maintenance and management only read it.
@@ -143,7 +143,7 @@
 
     @property
     def load_line_kind(self) -> SessionMetricKind:
-        """The metric that a server's LOAD lines report, which only the settings determine: see docs/status.md."""
+        """The metric that a server's LOAD lines report, which depends on the settings alone: see docs/status.md."""
         if self.deployment.reports_message_latency and not self.deployment.reports_session_load:
             return SessionMetricKind.LATENCY
         return SessionMetricKind.LOAD
--- a/stoatgw/clients/listener.py
+++ b/stoatgw/clients/listener.py
@@ -70,7 +70,7 @@
                 failures += 1
 
     async def run(self) -> None:
-        """Accept connections until cancelled; return at once if there is no socket."""
+        """Accept connections until cancelled; return immediately if there is no socket."""
         if self._sock is None:
             return
         loop = asyncio.get_running_loop()
--- a/stoatgw/clients/relay.py
+++ b/stoatgw/clients/relay.py
@@ -180,7 +180,7 @@
     async def _handle_client_send_error(self, error: OSError) -> None:
         """Handle a failed send to the client: the client's task gets time to read its remaining lines and its EOF.
 
-        The failure is not the server's, and ending the session at once would lose the client's last lines.
+        The failure is not the server's, and ending the session immediately would lose the client's last lines.
         """
         self._state.is_closed_to_client = True
         if self._state.has_ended:
@@ -298,7 +298,7 @@
     async def _handle_server_send_error(self, error: OSError) -> None:
         """Handle a failed send to the server: the attempt's task reads the server's remaining lines and its EOF.
 
-        That takes as long as the client takes to read these lines: a fixed time limit would cut the last of them off.
+        That takes as long as the client takes to read these lines: a fixed time limit would lose the last of them.
         """
         while True:
             await asyncio.sleep(SEND_ERROR_GRACE_S)
--- a/stoatgw/clients/session_closer.py
+++ b/stoatgw/clients/session_closer.py
@@ -96,6 +96,6 @@
             await asyncio.gather(*closing)
 
     def abort_attempt(self) -> None:
-        """Close an established attempt's connection at once; do nothing if it is already closed."""
+        """Close an established attempt's connection immediately; do nothing if it is already closed."""
         if self._established_attempt is not None:
             self._established_attempt.close()
--- a/stoatgw/clients/unread_eof.py
+++ b/stoatgw/clients/unread_eof.py
@@ -45,7 +45,7 @@
 
 
 def _monitored_descriptors(session: EstablishedSession) -> Iterator[tuple[int, PeerSide]]:
-    """Yield the connections on which an EOF has to be read at once."""
+    """Yield the connections on which an EOF has to be read as soon as it is received."""
     if session.session_state.has_ended:
         return
     for peer in session.relay.peers():
--- a/stoatgw/config/deployment.py
+++ b/stoatgw/config/deployment.py
@@ -46,7 +46,7 @@
         initial_endpoints: The platform's endpoint list in discovery's JSON; None if LB_CONFIG has none.
         settings: The site's settings for the decisions.
         zones: Zone names by index.
-        machine_types: Machine types by index.
+        machine_types: Names of the machine kinds by index.
         dial_timeout_us: Timeout of a connect to a session server, greater than 0.
         idle_timeout_us: How long an unused server connection is kept, greater than 0.
         reports_message_latency: Whether message latencies are measured for the decisions.
--- a/stoatgw/config/settings.py
+++ b/stoatgw/config/settings.py
@@ -1,4 +1,4 @@
-"""Parses the decisions' settings from path=value pairs, as given by the simulator's wire and by LB_CONFIG."""
+"""Parses the decisions' settings from path=value pairs, which the simulator's wire and LB_CONFIG contain."""
 
 from __future__ import annotations
 
--- a/stoatgw/controller/drain.py
+++ b/stoatgw/controller/drain.py
@@ -22,7 +22,7 @@
         self.is_draining = False
         self._drain = BeginDrain(0, 0)
         self._accept_until_us = 0  # new clients are still routed to this proxy until then
-        self._admit_until_us = 0  # new requests are served until then; 0: they are rejected at once
+        self._admit_until_us = 0  # new requests are served until then; 0: they are rejected immediately
         self._late_sessions = 0  # sessions established since the drain began
 
     def begin(self, drain: BeginDrain, now_us: int) -> None:
@@ -38,7 +38,7 @@
         self.is_draining = False
 
     def is_admitting(self, now_us: int) -> bool:
-        """Report whether a new request is passed to the policy."""
+        """Return whether a new request is passed to the policy."""
         return not self.is_draining or now_us < self._admit_until_us
 
     def retry_after_us(self, now_us: int) -> int:
@@ -59,7 +59,7 @@
             yield (self._drain.accept_window_us + offset_us) / 1e6
 
     def next_late_migration_delay_s(self, now_us: int) -> float:
-        """Return the delay after which a session that was established during the drain migrates; 0: at once.
+        """Return the delay after which a session that was established during the drain migrates; 0: immediately.
 
         These sessions are spread over the same window as those established before.
         """
--- a/stoatgw/controller/messages.py
+++ b/stoatgw/controller/messages.py
@@ -212,7 +212,7 @@
         accept_window_us: How long new clients are still routed to this proxy.
         migration_window_us: The time after that over which the migrations are spread.
         admission_window_us: How long new requests are still served, whose sessions then migrate too; 0: new requests
-            are rejected at once.
+            are rejected immediately.
     """
 
     accept_window_us: int
--- a/stoatgw/controller/migrations.py
+++ b/stoatgw/controller/migrations.py
@@ -128,8 +128,8 @@
     def _migrate(self, state: RequestState, reason: MigrationReason) -> None:
         """Migrate a session after the policy has recorded the migration.
 
-        Otherwise the policy would take the ended sessions of this proxy's drain for faults of the servers, and avoid
-        all servers for seconds after the drain is cancelled.
+        Otherwise the policy would mistake the sessions ended by this proxy's drain for failures of the servers, and
+        avoid all servers for seconds after the drain is cancelled.
         """
         policy = self._decisions.migrating_policy
         if policy is not None:
--- a/stoatgw/controller/reasons.py
+++ b/stoatgw/controller/reasons.py
@@ -1,4 +1,4 @@
-"""Reasons for final answers and migrations, as the log's `why` field gives them. No code depends on the texts."""
+"""Reasons for final answers and migrations, as written to the log's `why` field. No code depends on the texts."""
 
 from __future__ import annotations
 
--- a/stoatgw/decisions/health_checking.py
+++ b/stoatgw/decisions/health_checking.py
@@ -9,7 +9,7 @@
 MAX_COST_FRACTION = 0.01  # fraction of the service that health checks may cost
 INITIAL_CHECKS = 8
 MIN_CHECKS_PER_PERIOD = 0.25  # even without any clients
-LOCAL_ZONE_FACTOR = 3.0  # servers in the own zone are checked this many times as often
+LOCAL_ZONE_FACTOR = 3.0  # servers in the local zone are checked this many times as often
 # Each of many balancers receives a request only every few seconds, and its reports are outdated by then. It
 # checks this many servers per round for each request, in up to this many rounds, and waits for the results
 # for MAX_WAIT_US, or for the time left divided by MAX_WAIT_DIVISOR if that is less.
@@ -31,7 +31,7 @@
 
 
 def check_oldest(context: DecisionContext, min_age_us: int = 0) -> None:
-    """Check the servers with the oldest last check, the own zone more often, as far as the credit allows."""
+    """Check the servers with the oldest last check, those in the local zone more often, as far as the credit allows."""
     now_us = context.now_us
 
     def weighted_age(server: ServerState) -> float:
@@ -49,7 +49,7 @@
 
 
 def check_for_request(context: DecisionContext, connection: ConnectionState) -> bool:
-    """Check a few servers for one request, own zone first; return whether it waits for the results."""
+    """Check a few servers for one request, local zone first; return whether it waits for the results."""
     if not context.checks_on_request or connection.health_check_rounds >= MAX_ROUNDS:
         return False
     if context.counts.health_check_credit < 1.0:
--- a/stoatgw/decisions/placement.py
+++ b/stoatgw/decisions/placement.py
@@ -38,7 +38,7 @@
 
 
 def time_left_us(context: DecisionContext, connection: ConnectionState) -> int:
-    """Return how long an attempt may take if a final answer is still to be sent in time."""
+    """Return how long an attempt may take so that a final answer can still be sent in time."""
     reserve_us = 2 * context.settings.granularity_us + ANSWER_RESERVE_US
     return connection.deadline_us - reserve_us - context.now_us
 
--- a/stoatgw/decisions/server_selection.py
+++ b/stoatgw/decisions/server_selection.py
@@ -1,4 +1,4 @@
-"""Selects a server for a request: the best of a few that pass the admission test, own zone first."""
+"""Selects a server for a request: the best of a few that pass the admission test, local zone first."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MIN_CANDIDATES = 2  # servers that pass the test and are compared, if that many do
 MAX_EXAMINED = 12  # servers examined in each of the three pools
-SPILL_LOAD = 0.6  # below this load servers in the own zone, then warm ones, are filled first
+SPILL_LOAD = 0.6  # below this load servers in the local zone, then warm ones, are filled first
 GROUP_AFFINITY = 0.05  # subtracted from the load of a server that already holds the connection's group
 MAX_WARMING_UP_EXAMINED = 96  # servers in slow start; few of them have an open slot for this balancer
 MAX_SETUPS_PER_SERVER = 16  # this balancer's set-ups in flight at one server
@@ -125,7 +125,7 @@
 
 
 def draw_recently_reported(context: DecisionContext, *, is_local: bool) -> list[ServerState]:
-    """Return a few warm servers of the own zone, or of the other zones, that have reported recently."""
+    """Return a few warm servers of the local zone, or of the remote zones, that have reported recently."""
     recent = context.fleet.reported_since(context.now_us - RECENT_REPORT_US)
     zone = context.settings.zone
     return draw(context, [server for server in recent if (server.endpoint.zone == zone) is is_local])
--- a/stoatgw/decisions/settings.py
+++ b/stoatgw/decisions/settings.py
@@ -74,7 +74,7 @@
         profiles: The request classes, in the order of their indices.
         balancers: Number of balancers that send connections to the same servers.
         rank: Index of this balancer; an index beyond the number of balancers wraps around.
-        zone: Index of this balancer's own zone.
+        zone: Index of this balancer's zone, the local zone.
         max_attempts: Maximum number of attempts for one request.
         can_probe: Whether the balancer may check the health of servers.
         probe_price: Cost of one health check relative to serving one client; 0 if checks are free.
--- a/stoatgw/decisions/state/context.py
+++ b/stoatgw/decisions/state/context.py
@@ -174,7 +174,7 @@
         if is_finished or not connection.is_established:
             self.counts.placed_this_period -= connection.load_units
         elif self.checks_on_request and not connection.is_abandoned:
-            # The connection was cut off: the peers' clients on that server reconnect as well.
+            # The connection was lost: the peers' clients on that server reconnect as well.
             self.counts.placed_this_period += connection.load_units
         may_be_retried = not connection.is_established
         if may_be_retried and connection.first_run is None and not status.never_ran:
--- a/stoatgw/decisions/state/fleet_state.py
+++ b/stoatgw/decisions/state/fleet_state.py
@@ -25,8 +25,8 @@
 
     servers: dict[str, ServerState] = field(default_factory=dict)  # all listed servers, by name
     ready: list[ServerState] = field(default_factory=list)  # active, in a random order
-    local: list[ServerState] = field(default_factory=list)  # ready and warm, in the own zone
-    remote: list[ServerState] = field(default_factory=list)  # ready and warm, in other zones
+    local: list[ServerState] = field(default_factory=list)  # ready and warm, in the local zone
+    remote: list[ServerState] = field(default_factory=list)  # ready and warm, in remote zones
     warming_up: list[ServerState] = field(default_factory=list)  # in slow start; this balancer shares their budget
     recently_reported: dict[str, ServerState] = field(default_factory=dict)  # warm; reports may have aged
     honors_ejection: bool = True  # False in panic mode
--- a/stoatgw/decisions/state/server_state.py
+++ b/stoatgw/decisions/state/server_state.py
@@ -63,7 +63,7 @@
         return settings.cold_from + (1.0 - settings.cold_from) * max(0, age_us) / settings.cold_us
 
     def shows_restart(self, connections: float) -> bool:
-        """Return whether a report of `connections` shows that the server failed and came back nearly empty."""
+        """Return whether a report of `connections` shows that the server failed and recovered nearly empty."""
         before = self.reported_connections
         if before is None or not self.last_failure_us > self.reported_us > 0:
             return False
--- a/stoatgw/discovery/backoff.py
+++ b/stoatgw/discovery/backoff.py
@@ -1,6 +1,6 @@
 """Delays between calls to discovery. Pure: the random generator is passed in.
 
-A proxy counts as notified of a change 6 s after discovery had it, whichever calls failed or were rejected: no delay may
+A proxy counts as notified of a change 6 s after discovery has it, whichever calls failed or were rejected: no delay may
 be longer than what the calls themselves leave of that time. If discovery is polled, all proxies may lose their watch at
 the same moment, and a server that gets more calls than it can answer answers hardly any of them: in a large fleet each
 proxy therefore draws its delay from a range that doubles. If lists are pushed, an agent on the proxy's own machine
@@ -12,7 +12,7 @@
 import random
 
 NOTIFICATION_DEADLINE_S = 6.0
-"""A proxy counts as notified of a change this long after discovery had it."""
+"""A proxy counts as notified of a change this long after discovery has it."""
 
 INITIAL_DELAY_S = 0.1
 MAX_PUSHED_DELAY_S = 0.4
--- a/stoatgw/discovery/http.py
+++ b/stoatgw/discovery/http.py
@@ -136,7 +136,7 @@
     # Callbacks of httptools.
 
     def on_headers_complete(self) -> None:
-        """Record the status here, not earlier: of a status line received in part the number would be incomplete."""
+        """Record the status only here: its number would be truncated while the status line is incomplete."""
         self._status = self._parser.get_status_code()
 
     def on_body(self, body: bytes) -> None:
@@ -144,7 +144,7 @@
         self._objects += self._splitter.receive_data(body)
 
     def on_message_complete(self) -> None:
-        """Add a truncated last object as it is, whose decoding fails."""
+        """Add a truncated last object unchanged: decoding it fails."""
         if self._splitter.trailing_data:
             self._objects.append(self._splitter.trailing_data)
         self.is_complete = True
--- a/stoatgw/discovery/publisher.py
+++ b/stoatgw/discovery/publisher.py
@@ -57,7 +57,7 @@
         return len(self._listed)
 
     def has_endpoint(self, name: str) -> bool:
-        """Report whether the list contains a session server of that name."""
+        """Return whether the list contains a session server of that name."""
         return name in self._listed
 
     def endpoints(self) -> list[Endpoint]:
--- a/stoatgw/hot_restart/handover.py
+++ b/stoatgw/hot_restart/handover.py
@@ -6,7 +6,7 @@
 
 from stoatgw.hot_restart.sibling_processes import ProcessRecord
 
-# How long a process that takes over first learns the servers' load.
+# How long a process that takes over collects the servers' load reports before it accepts.
 LOAD_LEARNING_US = 500_000
 # How long a process with a cached endpoint list waits for a new one; the platform allows it 6 s.
 ENDPOINT_LIST_WAIT_US = 2_500_000
--- a/stoatgw/line_protocol/grammar.py
+++ b/stoatgw/line_protocol/grammar.py
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)  # not frozen: that would triple the time to construct one, once per request
 class SessionRequest:
-    """A client's first line, which requests a session; the comments give the fields' names on the wire."""
+    """A client's first line, which requests a session; the comments contain the fields' names on the wire."""
 
     line: bytes
     request_id: str
--- a/stoatgw/line_protocol/splitter.py
+++ b/stoatgw/line_protocol/splitter.py
@@ -40,7 +40,7 @@
         return complete
 
     def _check_length(self, size_bytes: int) -> bool:
-        """Report whether a line of this length is allowed; if not, mark the stream as overlong."""
+        """Return whether a line of this length is allowed; if not, mark the stream as overlong."""
         if size_bytes > self._max_line_bytes:
             self.is_overlong = True
             self._buffer.clear()
--- a/stoatgw/maintenance/controller.py
+++ b/stoatgw/maintenance/controller.py
@@ -120,7 +120,7 @@
         return snapshot
 
     def _accept(self, snapshot: StoreSnapshot) -> bool:
-        """Adopt a snapshot's rollout state and report whether this proxy may act on the snapshot."""
+        """Adopt a snapshot's rollout state and return whether this proxy may act on the snapshot."""
         if snapshot.revision < self._store_revision:
             # One response may be stale. An engine that stays behind has lost data: no proxy may start the rollout anew.
             self._conditions.report(events.STALE_REVISION, "the snapshot's revision is lower than one seen before")
--- a/stoatgw/maintenance/local_rollout.py
+++ b/stoatgw/maintenance/local_rollout.py
@@ -50,7 +50,7 @@
         self._is_draining = must_drain
 
     def _must_drain(self, state: RolloutState) -> bool:
-        """Report whether this process must drain; one that started after the step began is the restarted process."""
+        """Return whether this process must drain; one that started after the step began is the restarted process."""
         if self._machine_name not in state.machines_out_of_service():
             return False
         # Both times are from this machine's clock.
--- a/stoatgw/maintenance/rollout_planner.py
+++ b/stoatgw/maintenance/rollout_planner.py
@@ -137,7 +137,7 @@
         return RolloutChange(replace(state, is_finished=True), RolloutEvent.ROLLOUT_FINISHED)
 
     def _elapsed_s(self, now_us: int, machine: str, condition: str) -> float:
-        """Seconds since a condition of a machine was first observed; the first call records it."""
+        """Return the seconds since a condition of a machine was first observed; the first call records it."""
         return (now_us - self._first_seen_us.setdefault((machine, condition), now_us)) / 1e6
 
     def _advance_step(self, state: RolloutState, name: str, fleet: FleetSnapshot, now_us: int) -> RolloutChange | None:
@@ -153,7 +153,7 @@
         return RolloutChange(state.with_step(name, replace(step, state=final)), END_EVENTS[final], name)
 
     def _evacuation_completes_step(self, name: str, now_us: int) -> bool:
-        """Report whether a step is done since its machine has been evacuated for the plan's minimum."""
+        """Return whether a step is done because its machine has been evacuated for the plan's minimum time."""
         if self._plan.completion != "empty":
             return False
         return self._elapsed_s(now_us, name, EVACUATED) >= self._plan.min_evacuated_s
@@ -193,7 +193,7 @@
         return RolloutChange(state.with_step(name, replace(step, is_evacuated=True)), RolloutEvent.STEP_EVACUATED, name)
 
     def _waits_for_lost_member(self, name: str, step: RolloutStep, fleet: FleetSnapshot, now_us: int) -> bool:
-        """Report whether a member that the step expects has been absent for less than the plan's timeout.
+        """Return whether a member that the step expects has been absent for less than the plan's timeout.
 
         An absent member is either dead, or partitioned and still serving; the two cannot be distinguished. After the
         timeout it counts as dead; a partitioned one that had seen the step has evacuated the machine by then.
--- a/stoatgw/maintenance/settings.py
+++ b/stoatgw/maintenance/settings.py
@@ -18,8 +18,8 @@
         membership: The engine and its leases.
         plan: The plan to carry out.
         proxy_name: This proxy's name.
-        incarnation: Differs for each process, so that two processes with one name, at once or one after a crash of
-            the other, are different lease holders.
+        incarnation: Differs for each process, so that two processes with one name are different lease holders,
+            whether they run at the same time or one starts after a crash of the other.
         state_directory: Where the rollout state is persisted; with None or "" it is not.
     """
 
--- a/stoatgw/membership/client.py
+++ b/stoatgw/membership/client.py
@@ -79,7 +79,7 @@
         sock = tcp.create_socket()
         is_sent = False
         try:
-            # An endpoint behind a broken link never responds: its connect must leave time for the other endpoints.
+            # An endpoint whose link is broken never responds: its connect must leave time for the other endpoints.
             async with asyncio.timeout(self._call_timeout_s / (len(self._endpoints) + 1)):
                 await tcp.connect(sock, (address.host, address.port))
             is_sent = True
--- a/stoatgw/rebalance/snapshot.py
+++ b/stoatgw/rebalance/snapshot.py
@@ -38,7 +38,7 @@
         load: Load divided by current capacity.
         load_per_connection: The increase of `load` by one mean session.
         connections: Connections of all proxies to the server.
-        report_age_us: Age of the load report behind the estimate.
+        report_age_us: Age of the load report that the estimate is based on.
         warm_up_fraction: Fraction of its full capacity that it has reached; below 1 it is in slow start.
         setups_in_flight: The proxy's own attempts in flight at the server.
         is_healthy: Whether it is serving, not ejected, and on time with its messages.
--- a/stoatgw/service/component.py
+++ b/stoatgw/service/component.py
@@ -11,8 +11,8 @@
 class ServiceComponent:
     """An optional component of a proxy. Each method does nothing unless the component overrides it.
 
-    The service calls them in the order in which they stand here, all from its own task. A fault of a background task
-    that ends it shuts the proxy down: an action that may fail now and then runs under `run_periodically`, or the
+    The service calls them in the order in which they are defined here, all from its own task. An exception that ends a
+    background task shuts the proxy down: an action that may fail occasionally runs under `run_periodically`, or the
     component logs the failure itself.
     """
 
@@ -35,11 +35,11 @@
         return ()
 
     def is_superseded(self) -> bool:
-        """Whether another process of this proxy accepts the clients from now on; asked when shutdown begins."""
+        """Return whether another process of this proxy accepts the clients from now on; called when shutdown begins."""
         return False
 
     def begin_shutdown(self) -> None:
-        """Begin to wind down; called once the drain has begun. Clients are still served after it."""
+        """Begin to shut the component down; called once the drain has begun, while clients are still served."""
 
     def stop(self) -> None:
-        """End at once; called in reverse order when the drain is over. The process ends after it."""
+        """Stop immediately; called in reverse order when the drain is over, just before the process ends."""
--- a/stoatgw/service/maintenance.py
+++ b/stoatgw/service/maintenance.py
@@ -33,7 +33,7 @@
         """Restore the suspensions of a maintenance, as an earlier process of this proxy stored them.
 
         Raises:
-            ConfigError: The coordination service cannot be reached as configured.
+            ConfigError: The coordination engine cannot be reached as configured.
         """
         self._controller.start()
 
--- a/stoatgw/service/shared_health_checks.py
+++ b/stoatgw/service/shared_health_checks.py
@@ -19,7 +19,7 @@
         """Prepare the component.
 
         Raises:
-            ConfigError: The coordination service cannot be reached as configured.
+            ConfigError: The coordination engine cannot be reached as configured.
         """
         self._core = core
         hooks = ProxyHooks(
--- a/stoatgw/service/shutdown.py
+++ b/stoatgw/service/shutdown.py
@@ -69,6 +69,6 @@
 
 
 def _log_cut_sessions(core: ProxyCore) -> None:
-    """Log the sessions that are cut because the process ends; there should be none."""
+    """Log the sessions that are interrupted because the process ends; there should be none."""
     for request_id, session in core.context.established_sessions.items():
         core.context.log.event("session_cut", id=request_id, backend=session.server, why="the process ends")
--- a/stoatgw/shared_health_checks/assignment.py
+++ b/stoatgw/shared_health_checks/assignment.py
@@ -85,7 +85,7 @@
         return due
 
     def _takes_over(self, name: str, rank: int, now_us: int, *, is_receiving: bool) -> bool:
-        """Whether this proxy takes over a server because no member that ranks before it has checked it in time."""
+        """Return whether this proxy takes over a server, as no member that ranks before it has checked it in time."""
         if not is_receiving:
             return False
         if name in self._taken_over:
--- a/stoatgw/shared_health_checks/published.py
+++ b/stoatgw/shared_health_checks/published.py
@@ -74,7 +74,7 @@
         self._numbers: dict[tuple[str, str], int] = {}  # by member and server
 
     def has_changed(self, member: str, revision: int) -> bool:
-        """Report whether a member has published since the last call."""
+        """Return whether a member has published since the last call."""
         if self._revisions.get(member) == revision:
             return False
         self._revisions[member] = revision
--- a/stoatgw/simulator_wire/host.py
+++ b/stoatgw/simulator_wire/host.py
@@ -1,4 +1,4 @@
-"""Hosts isolated balancer instances behind standard input and output."""
+"""Hosts isolated balancer instances, driven by standard input and output."""
 
 from __future__ import annotations
 
--- a/stoatgw/suspension/applier.py
+++ b/stoatgw/suspension/applier.py
@@ -9,7 +9,7 @@
 from stoatgw.telemetry.log import EventLog
 
 # Short enough to end well before the server is restarted, but long enough that its clients do not all reach the other
-# servers at once.
+# servers at the same time.
 EVACUATION_DURATION_US = 2_000_000
 
 
--- a/stoatgw/suspension/overrides.py
+++ b/stoatgw/suspension/overrides.py
@@ -13,7 +13,7 @@
 
 
 class SuspensionSource(Enum):
-    """What suspended a server; one that both sources have suspended is used again once neither suspends it."""
+    """What suspended a server; one that both sources have suspended is resumed once neither suspends it."""
 
     OPERATOR = "operator"
     MAINTENANCE = "maintenance"
--- a/stoatgw/suspension/service.py
+++ b/stoatgw/suspension/service.py
@@ -76,7 +76,7 @@
         self._apply(suspensions)
 
     def resume(self, server: str) -> None:
-        """Use a server again from now on.
+        """Resume a server from now on.
 
         Raises:
             StillSuspendedError: The shared file cannot be changed, or a maintenance keeps the server suspended.
--- a/stoatgw/telemetry/log.py
+++ b/stoatgw/telemetry/log.py
@@ -30,8 +30,8 @@
     def event(self, event: str, **fields: Any) -> None:
         """Write a line with the Unix time in seconds, the proxy's name, the event's name and its fields.
 
-        The line is flushed at once. If the output is closed or full, the line is lost and the proxy keeps serving. The
-        next line that is written reports how many were lost to a full output.
+        The line is flushed immediately. If the output is closed or full, the line is lost and the proxy keeps serving.
+        The next line that is written reports how many were lost to a full output.
         """
         if not self._can_write():
             self._lost_lines += 1
--- a/tests/peer_disconnect_rig.py
+++ b/tests/peer_disconnect_rig.py
@@ -16,7 +16,7 @@
 
 from tests.proxy_rig import ProxyRig
 
-HANG_TIMEOUT_S = 10  # every disconnection is propagated almost at once: only one that never is takes as long
+HANG_TIMEOUT_S = 10  # exceeded only if a disconnection is never propagated: all others are almost immediately
 POLL_INTERVAL_S = 0.02
 STEADY_COUNTS = 5  # consecutive equal counts that show a steady state
 LINGER_RESET = struct.pack("ii", 1, 0)
@@ -264,7 +264,7 @@
         return failures + [failure for case in self.cases for failure in case.failures(self.log, loses_data=loses_data)]
 
     async def _count_idle_descriptors(self, process: asyncio.subprocess.Process) -> int:
-        """Return the count while the proxy is idle: its first health checks are over, and operators' calls closed."""
+        """Return the count while the proxy is idle: its first health checks are over, and no operator is connected."""
         while self._checked_servers < self.server_count:
             await asyncio.sleep(POLL_INTERVAL_S)
         counts = [await self._count_descriptors(process)]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -98,7 +98,7 @@
     harness.list_servers(near=0, far=1)
     harness.report("near", 0.56, 28)
     harness.report("far", 0.10, 5)
-    harness.request()  # near would be at 0.58, below the spill load, and the own zone is preferred
+    harness.request()  # near would be at 0.58, below the spill load, and the local zone is preferred
     assert harness.sent_to() == "near"
     harness.report("near", 0.60, 30)
     harness.request()  # near would be at 0.62 or more
@@ -555,7 +555,7 @@
 def test_the_later_the_messages_the_more_sessions_migrate(
     latency_ms: float, min_migrations: int, max_migrations: int
 ) -> None:
-    # Guards against seconds of queued work: it took ten seconds to relieve a server of it by a tenth at a time.
+    # Guards against a server that keeps seconds of queued work: migrating a tenth at a time took ten seconds.
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.10, 10)
@@ -617,7 +617,7 @@
 
 
 def test_a_client_disconnect_does_not_eject_its_server_but_a_drain_does() -> None:
-    """When many clients disconnected and reconnected at once, each ejected its server for 4 s; most were rejected."""
+    """When many clients disconnected and reconnected together, each ejected its server for 4 s; most were rejected."""
     for has_disconnected, sent_to in ((True, "a"), (False, None)):
         harness = BalancerHarness()
         harness.list_servers(a=0)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -222,7 +222,7 @@
 
 
 def test_no_session_migrates_while_new_clients_are_routed_here() -> None:
-    """Guards against clients that migrated at once, reconnected to the draining proxy and were rejected."""
+    """Guards against clients that migrated immediately, reconnected to the draining proxy and were rejected."""
 
     async def test(harness: ControllerHarness) -> None:
         await harness.list_servers("a")
--- a/tests/test_hot_restart.py
+++ b/tests/test_hot_restart.py
@@ -278,7 +278,7 @@
         await platform.wait_for_readiness(port)
         second.send_signal(signal.SIGTERM)
         second.kill()  # while it migrates its sessions
-        fourth, port = await platform.start_process()  # the next hot restart follows at once
+        fourth, port = await platform.start_process()  # the next hot restart follows immediately
         await platform.wait_for_readiness(port)
         third.send_signal(signal.SIGTERM)
         assert await third.wait() == 0
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -41,7 +41,7 @@
 
 
 class RolloutModel:
-    """A fleet of two proxies in which the planner's changes are applied at once."""
+    """A fleet of two proxies in which the planner's changes are applied immediately."""
 
     ACTIONS = (
         "step",
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -115,7 +115,7 @@
         for response in await asyncio.gather(*complete):
             assert response.startswith(b"HTTP/1.1 200 OK\r\n")
             assert response.endswith(b"yes: readyz \n")
-        # The oldest connection was closed to make room. One that sent half a request and stayed open times out.
+        # The oldest connection was closed to make room. One that sent a partial request and stayed open times out.
         assert await idle[0][0].read() == b""
         assert b" 408 " in await idle[-2][0].read()
 
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -99,7 +99,7 @@
             seen = {outcome: workload.answers[class_name, outcome] for outcome in RequestOutcome}
             assert all(counted[outcome] >= seen[outcome] for outcome in RequestOutcome)
             assert sum(counted.values()) - sum(seen.values()) <= workload.disconnected[class_name]
-        # The attempt of a client that disconnects at once may be cancelled before the server reads its line.
+        # The attempt of a client that disconnects immediately may be cancelled before the server reads its line.
         received = len(proxy.forwarded_requests)
         assert received <= metrics["proxy.dispatches"] <= received + workload.disconnected.total()
         assert metrics["proxy.concurrent"] == 0
--- a/tests/test_peer_ends.py
+++ b/tests/test_peer_ends.py
@@ -1,4 +1,4 @@
-"""A peer ends its connection, in any way: the other side is notified at once, and nothing of the session is leaked.
+"""A peer ends its connection, in any way: the other side is notified immediately, and the session leaks nothing.
 
 Guards against sessions that stay open after their server has closed them, with nothing in the log. Each reader had one
 event loop watch for all its reads, and when a connection breaks, the loop notifies a watch once and drops it. If a
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -195,7 +195,7 @@
         sent = sum(start_us <= at_us < start_us + SECOND for at_us in sends)
         warm_up_fraction = 0.2 + 0.8 * (start_us - T0) / (10 * SECOND)
         assert sent * (SETUP_US / SECOND + 0.02) <= 3.0 * warm_up_fraction
-    # With the load of the whole warm-up charged at once, only 4 were sent and others were rejected.
+    # When each connection was charged for the load of the whole warm-up, only 4 were sent and others were rejected.
     assert sum(at_us < T0 + 3 * SECOND for at_us in sends) >= 7
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("servers", [20, 200, 2_000])
 def test_a_decision_examines_few_servers(servers: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against simulated days that are cut off for their CPU time: every server was ranked for each request.
+    # Guards against simulated days that are aborted for their CPU time: every server was ranked for each request.
     examined = 0
     expected_load = LoadEstimator.expected_load
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -156,7 +156,7 @@
     assert old.last_state() is Lifecycle.ACTIVE
     assert not old.service.has_server("s-9")
     old.service.suspend("s-1")
-    old.service.suspend("s-1")  # a repeated call is no error
+    old.service.suspend("s-1")  # a repeated call is not an error
     assert old.last_state() is Lifecycle.DRAINING
     assert EvacuateServer("s-1", True, EVACUATION_DURATION_US) in old.queue.messages
     new.service.poll()
