--- a/stoatgw/decisions/settings.py
+++ b/stoatgw/decisions/settings.py
@@ -146,8 +146,8 @@
             ("rules.fall_us", self.fall_us >= 0),
             ("rules.drain_grace_us", self.drain_grace_us >= 0),
         )
-        for name, good in checks:
-            if not good:
+        for name, is_valid in checks:
+            if not is_valid:
                 raise SettingsError(f"setting {name} is missing or impossible")
         for index, profile in enumerate(self.profiles):
             if profile.deadline_us <= 0:
--- a/stoatgw/membership/reconcile_loop.py
+++ b/stoatgw/membership/reconcile_loop.py
@@ -12,7 +12,7 @@
 
 MIN_JITTER = 0.8
 MAX_JITTER = 1.2
-MAX_REASON_LENGTH = 200
+MAX_REASON_CHARS = 200
 
 
 async def run_reconcile_loop(
@@ -68,5 +68,5 @@
     def _raise(self, condition: Condition, reason: str) -> None:
         is_new = condition not in self._reasons
         if is_new or (condition.logs_each_reason and self._reasons[condition] != reason):
-            self._log.event(condition.raised_event, error=reason[:MAX_REASON_LENGTH])
+            self._log.event(condition.raised_event, error=reason[:MAX_REASON_CHARS])
         self._reasons[condition] = reason
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -163,7 +163,7 @@
     assert admitted - 1 == 7  # 0.02 * (18 + 3 * 7 + 1) = 0.8
 
 
-def test_a_failed_setup_is_subtracted_from_n_at_once() -> None:
+def test_a_failed_setup_is_subtracted_from_n_immediately() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0)
     harness.report("a", 0.76, 38)
@@ -207,7 +207,7 @@
     assert harness.sent_to() == first_server
 
 
-def test_a_late_message_stops_admission_to_its_server_at_once() -> None:
+def test_a_late_message_stops_admission_to_its_server_immediately() -> None:
     harness = BalancerHarness()
     harness.list_servers(a=0, b=0)
     harness.report("a", 0.20, 10)
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -103,7 +103,7 @@
     run_with_harness(test)
 
 
-def test_a_request_is_rejected_at_once_while_no_server_is_listed() -> None:
+def test_a_request_is_rejected_immediately_while_no_server_is_listed() -> None:
     async def test(harness: ControllerHarness) -> None:
         state, handler = harness.new_request()
         await harness.deliver(RequestReceived(state))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -135,7 +135,7 @@
         world = pending.pop()
         for after in map(normalize, next_worlds(world, is_fenced=is_fenced)):
             if sum(process.state.valid_token(after.now) > 0 for process in after.processes) > 1:
-                return len(seen), {"two processes may write at once"}
+                return len(seen), {"two processes may write at the same time"}
             if after.last_written_token < world.last_written_token:
                 return len(seen), {"a write with an old token took effect"}
             if after not in seen:
@@ -144,13 +144,13 @@
     return len(seen), set()
 
 
-def test_two_processes_never_hold_a_lease_at_once() -> None:
+def test_two_processes_never_hold_a_lease_at_the_same_time() -> None:
     states, violations = explore(2)
     assert violations == set()
     assert states > 10_000
 
 
-def test_no_two_of_three_processes_hold_a_lease_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_no_two_of_three_processes_hold_a_lease_at_the_same_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("tests.test_membership.LAST_TIME", 2)
     states, violations = explore(3)
     assert violations == set()
@@ -175,4 +175,4 @@
 
     monkeypatch.setattr(LeaseState, "record_result", record_from_response)
     _, violations = explore(2)
-    assert violations == {"two processes may write at once"}
+    assert violations == {"two processes may write at the same time"}
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -68,7 +68,7 @@
     run_loopback(serve_echo, test)
 
 
-def test_an_answer_given_as_up_is_received_is_the_only_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_answer_sent_while_up_is_received_is_the_only_answer(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test(proxy: LoopbackProxy) -> None:
         open_attempt = Attempt.open
 
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("is_cancelled", [True, False])
-def test_a_request_sent_to_its_last_byte_as_its_attempt_is_interrupted_may_have_run(
+def test_a_request_whose_last_byte_is_sent_as_its_attempt_is_interrupted_may_have_run(
     is_cancelled: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
@@ -317,7 +317,7 @@
     run_loopback(serve_echo, test)
 
 
-def test_a_connection_closed_at_once_gets_its_last_line_even_if_sending_fails_once(
+def test_a_connection_closed_immediately_gets_its_last_line_even_if_sending_fails_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     fail_calls(monkeypatch, "send", "ENOBUFS")
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -263,7 +263,7 @@
     assert not any(has_capacity[:5])  # just after its start the server would be overloaded
 
 
-def test_endpoint_lists_that_grow_and_shrink_tenfold_at_once() -> None:
+def test_endpoint_lists_that_grow_and_shrink_tenfold_in_one_update() -> None:
     harness = one_of_many_balancers(servers=20)
     for index in range(20):
         harness.report(f"s{index}", 0.30, 30)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -81,7 +81,7 @@
         self._calls.append(f"{self._name} stops")
 
 
-def test_a_handed_over_proxy_without_clients_stops_its_components_in_reverse_order_at_once() -> None:
+def test_a_handed_over_proxy_without_clients_stops_its_components_in_reverse_order_immediately() -> None:
     calls: list[str] = []
 
     async def run() -> None:
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -393,7 +393,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reports_delay", "reports_load", "kind"),
+    ("reports_latency", "reports_load", "kind"),
     [
         (True, False, SessionMetricKind.LATENCY),
         (False, False, SessionMetricKind.LOAD),
@@ -401,7 +401,7 @@
     ],
 )
 def test_a_load_line_is_reported_as_the_metric_that_the_settings_name(
-    reports_delay: bool, reports_load: bool, kind: SessionMetricKind
+    reports_latency: bool, reports_load: bool, kind: SessionMetricKind
 ) -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"UP 1\r\nLOAD 320\r\n")
@@ -418,7 +418,7 @@
             post(message)
 
         proxy.controller.post = observe  # type: ignore[method-assign]
-        domain = {"tells_delay": reports_delay, "tells_load": reports_load}
+        domain = {"tells_delay": reports_latency, "tells_load": reports_load}
         proxy.context.deployment = parse_deployment(CONFIG | {"settings": CONFIG["settings"] | {"domain": domain}})
         _, writer = await proxy.open_session()
         while not observed:
