--- a/stoatgw/service/component.py
+++ b/stoatgw/service/component.py
@@ -11,8 +11,8 @@
 class ServiceComponent:
     """An optional component of a proxy. Each method does nothing unless the component overrides it.
 
-    The service calls them in the order in which they are defined here, all from its own task. An exception that ends a
-    background task shuts the proxy down: an action that may fail occasionally runs under `run_periodically`, or the
+    The service calls them in the order in which they are defined, all from its own task. A fault of a background task
+    that ends it shuts the proxy down: an action that may fail occasionally runs under `run_periodically`, or the
     component logs the failure itself.
     """
 
@@ -39,7 +39,7 @@
         return False
 
     def begin_shutdown(self) -> None:
-        """Begin to shut the component down; called once the drain has begun, while clients are still served."""
+        """Begin to wind down; called once the drain has begun. Clients are still served after it."""
 
     def stop(self) -> None:
-        """Stop immediately; called in reverse order when the drain is over, just before the process ends."""
+        """Stop immediately; called in reverse order when the drain is over. The process ends after it."""
