--- a/stoatgw/decisions/health_checking.py
+++ b/stoatgw/decisions/health_checking.py
@@ -31,7 +31,7 @@
 
 
 def check_oldest(context: DecisionContext, min_age_us: int = 0) -> None:
-    """Check the servers with the oldest last check, those in the local zone more often, as far as the credit allows."""
+    """Check the servers with the oldest last check, local ones more often, as far as the credit allows."""
     now_us = context.now_us
 
     def weighted_age(server: ServerState) -> float:
