--- a/stoatgw/discovery/client.py
+++ b/stoatgw/discovery/client.py
@@ -162,8 +162,8 @@
         if kind is EndpointUpdateKind.DELTA and page.is_complete:
             kind = EndpointUpdateKind.SNAPSHOT
         if kind is EndpointUpdateKind.DELTA and page.version < (self.publisher.version or 0):
-            # Changes that are older than the current version, or from another sequence of versions: applied, they could
-            # make a draining server active again.
+            # Changes that are older than the current version, or from another sequence of versions: if applied, they
+            # could make a draining server active again.
             self.publisher.version = None
             self._reject_page("generation: lower than the current one")
             return False
--- a/stoatgw/hot_restart/hot_restart.py
+++ b/stoatgw/hot_restart/hot_restart.py
@@ -87,7 +87,7 @@
     def _take_over_if_due(self) -> None:
         now_us = self._context.clock.now_us()
         has_endpoints = self._context.backends.has_endpoints
-        # This process does not accept only because a sibling did; if none does any longer, that sibling has ended.
+        # This process does not accept because a sibling did; if no sibling accepts any more, that one has ended.
         no_sibling_accepts = not any(sibling.is_accepting for sibling in self._siblings)
         if (no_sibling_accepts and has_endpoints) or may_start_accepting(
             self._own_record.since_us, self._publisher.first_update_us, has_endpoints=has_endpoints, now_us=now_us
--- a/stoatgw/hot_restart/sibling_processes.py
+++ b/stoatgw/hot_restart/sibling_processes.py
@@ -41,7 +41,7 @@
 
     @classmethod
     def decode(cls, data: bytes) -> ProcessRecord:
-        """Decode a file's record; one of another version, or incomplete, is of a process that does not accept yet."""
+        """Decode a file's record; one that is incomplete or of another version counts as not accepting."""
         if len(data) < _RECORD.size or not data.startswith(RECORD_VERSION):
             return cls(is_accepting=False, since_us=0, descriptors=0)
         _, is_accepting, since_us, descriptors = _RECORD.unpack(data)
--- a/stoatgw/membership/rendezvous.py
+++ b/stoatgw/membership/rendezvous.py
@@ -1,6 +1,6 @@
 """Assignment of items to live members: weighted rendezvous hashing with bounded loads. Pure.
 
-Processes that see the same members compute the same assignment. A member that joins or is lost moves few other items
+Processes that see the same members compute the same assignment. A member that joins or is lost moves few items other
 than its own.
 """
 
--- a/stoatgw/shared_health_checks/checker.py
+++ b/stoatgw/shared_health_checks/checker.py
@@ -36,7 +36,7 @@
     """The interface between the checker and the proxy that it runs in.
 
     Attributes:
-        queue: The balancer controller's message queue.
+        queue: The controller's message queue.
         start_check: Starts a health check of a server; its result is posted to the checker.
         list_servers: Returns the names of the session servers that discovery lists.
     """
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -87,7 +87,7 @@
     assert Rule.ANSWER_IN_TIME in rules_broken("shrink")
 
 
-def test_two_attempts_at_once_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_two_attempts_at_the_same_time_are_caught(monkeypatch: pytest.MonkeyPatch) -> None:
     def send_again(self: AttemptTracker, action: api.Send) -> None:
         request = self._requests.get(action.request_id)
         assert request is not None
