--- a/tests/soak.py
+++ b/tests/soak.py
@@ -36,14 +36,14 @@
 DEADLINE_S = 2.0
 ANSWER_GRACE_S = 0.5
 ADMISSION_AFTER_SIGTERM_S = 0.3  # time after SIGTERM for which new clients still connect
-MAX_LAG_S = 4.0  # ends are normally relayed at once; only one that is never relayed takes longer
+MAX_LAG_S = 4.0  # ends are normally propagated immediately; only one that is never propagated takes longer
 LINGER_RESET = struct.pack("ii", 1, 0)
 FAULT_COUNTERS = ("ends_unread", "sessions_crashed", "attempts_crashed", "session_monitor_failures", "watches_crashed")
 
 
 @dataclass
 class Findings:
-    """The findings of a run, and how long the relaying of ends took.
+    """The findings of a run, and how long the propagation of session ends took.
 
     Attributes:
         texts: One text for each finding.
@@ -120,7 +120,7 @@
         end_timer.cancel()
 
     def _end(self, session: Session, writer: asyncio.StreamWriter, end_kind: int) -> None:
-        """End a session: with BYE or without, after a complete line, half a line or nothing; by EOF, close or reset."""
+        """End a session: with BYE or without, after a complete or partial line or none; by EOF, close or reset."""
         if writer.is_closing():
             return
         session.server_end_s = asyncio.get_running_loop().time()
@@ -313,7 +313,7 @@
                 while data := await reader.read(4096):
                     received = (received + data)[-64:]
                     if session.server_end_s is not None:
-                        timeout.reschedule(session.server_end_s + MAX_LAG_S + 1.0)  # wait for the relayed end
+                        timeout.reschedule(session.server_end_s + MAX_LAG_S + 1.0)  # wait for the propagated end
             has_ended = True
         except ConnectionResetError:
             has_ended = True
@@ -325,7 +325,7 @@
         if session.server_end_s is not None:
             self.findings.lags_s.append(now_s - session.server_end_s)
             if self.findings.lags_s[-1] > MAX_LAG_S:
-                self.findings.texts.append("an end was not relayed")
+                self.findings.texts.append("an end was not propagated")
         elif not has_ended:
             session.client_end_s = now_s
         elif not proxy.was_killed.is_set() and not (b"\n" + received).endswith(b"\nMOVE\r\n"):
@@ -350,7 +350,7 @@
 
 
 def main() -> int:
-    """Run the seeds one after the other; return 1 if there is a finding, or an end was relayed over a second late."""
+    """Run the seeds in turn; return 1 if there is a finding, or an end was propagated more than a second late."""
     first, count = int(sys.argv[1]), int(sys.argv[2])
     has_findings = False
     for seed in range(first, first + count):
