--- a/stoatgw/emulator/checker/checker.py
+++ b/stoatgw/emulator/checker/checker.py
@@ -203,8 +203,8 @@
     def _report_unanswered(self, event: Event) -> None:
         """Report the unanswered requests of a proxy that was stopped as planned."""
         for request_id, request in self._requests.items():
-            is_owed = not request.is_answered and not request.needs_no_answer
-            if request.proxy == event.proxy and is_owed:
+            needs_answer = not request.is_answered and not request.needs_no_answer
+            if request.proxy == event.proxy and needs_answer:
                 reason = "the proxy ended without an answer to it"
                 self.violations.append(
                     Violation(Rule.SINGLE_ANSWER, event.time_us, event.proxy, request_id, "", reason)
--- a/stoatgw/emulator/engine/gateway.py
+++ b/stoatgw/emulator/engine/gateway.py
@@ -48,14 +48,14 @@
     try:
         return base64.b64decode(body.get(field, ""), validate=True)
     except (TypeError, ValueError, binascii.Error):
-        raise InvalidCallError(f"{field}: no base64") from None
+        raise InvalidCallError(f"{field}: not valid base64") from None
 
 
 def _read_number(body: Body, field: str) -> int:
     try:
         return int(body.get(field, 0))
     except (TypeError, ValueError):
-        raise InvalidCallError(f"{field}: no number") from None
+        raise InvalidCallError(f"{field}: not a number") from None
 
 
 def _format_header(store: Store) -> Body:
@@ -117,7 +117,7 @@
             raise NotFoundError("requested lease not found")  # before any change is made
     if puts:
         store.revision += 1
-    responses = [_execute_request(store, operation, now_us) for operation in operations]
+    responses = [_execute_operation(store, operation, now_us) for operation in operations]
     response: Body = {"header": _format_header(store)}
     if succeeded:
         response["succeeded"] = True
@@ -125,7 +125,7 @@
     return response
 
 
-def _execute_request(store: Store, operation: Body, now_us: int) -> Body:
+def _execute_operation(store: Store, operation: Body, now_us: int) -> Body:
     """Execute one operation (etcd: RequestOp) of a transaction."""
     if "request_put" in operation:
         put = operation["request_put"]
@@ -142,7 +142,7 @@
     except ValueError:
         target = None
     if target is None or comparison.get("result", "EQUAL") != "EQUAL":
-        raise InvalidCallError("compare: only EQUAL of CREATE, MOD and VERSION is here")
+        raise InvalidCallError("compare: only EQUAL of CREATE, MOD and VERSION is implemented")
     return store.compare(_read_bytes(comparison, "key"), target, _read_number(comparison, COMPARED_FIELDS[target]))
 
 
--- a/stoatgw/emulator/virtual/attempt_model.py
+++ b/stoatgw/emulator/virtual/attempt_model.py
@@ -89,7 +89,7 @@
         backend = self._proxy.backends.get(server.name)
         grace_us = self._proxy.settings.drain_grace_us
         if backend is None or not backend.accepts_new_sessions(now_us, grace_us) or now_us >= deadline_us:
-            self.fail(AttemptStatus.DIAL_FAILED, "it left meanwhile, or no time is left")
+            self.fail(AttemptStatus.DIAL_FAILED, "the backend accepts no new sessions, or the deadline has passed")
             return
         self.stage = AttemptStage.SENT
         self._world.log(EventKind.ATTEMPT_SENT, self._proxy.name, self._owner.name, server.name, self.number)
--- a/stoatgw/emulator/virtual/driver.py
+++ b/stoatgw/emulator/virtual/driver.py
@@ -117,7 +117,7 @@
         self.scheduler.call_at(self.scheduler.now_us() + self.world.client_latency_us, deliver_disconnect)
 
     def finish_session(self, session: Session) -> None:
-        """Let the client ask its server to end the session."""
+        """Make the client ask its server to end the session."""
         session.close_by_client()
 
     # Servers: see WorldDriver.
@@ -150,7 +150,7 @@
             _mark_server_unreachable(proxy, server)
 
     def set_zones_partitioned(self, is_partitioned: bool) -> None:
-        """Cut or restore the network between zones."""
+        """Partition the network between zones, or restore it."""
         for proxy in self.proxies:
             for server in self.world.servers.values():
                 if server.properties.zone != proxy.zone and server.name in proxy.established:
@@ -180,15 +180,15 @@
     # Proxies: see WorldDriver.
 
     def restart_proxy(self, proxy: int) -> None:
-        """Stop a proxy with SIGTERM and start it again."""
+        """Stop a proxy by SIGTERM, and restart it."""
         self._processes.restart(proxy)
 
     def kill_proxy(self, proxy: int, restart_delay_us: int) -> None:
-        """Kill a proxy and start it again after `restart_delay_us`."""
+        """Kill a proxy, and restart it after `restart_delay_us`."""
         self._processes.kill(proxy, restart_delay_us)
 
     def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
-        """Suspend a proxy with SIGSTOP for a time."""
+        """Freeze a proxy's process by SIGSTOP for `freeze_us`."""
         self._processes.freeze(proxy, freeze_us)
 
 
--- a/stoatgw/emulator/virtual/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -1,6 +1,6 @@
 """Baseline policies for comparison: random placement (`floor`), and placement by the servers' true state (`top`).
 
-Both keep the rules: requests are sent only to servers that are ready in the endpoint list, and one attempt at a time.
+Both follow the rules: requests are sent only to servers that are ready in the endpoint list, and one attempt at a time.
 The omniscient policy places by the true current load; it is not a strict upper bound.
 """
 
@@ -111,7 +111,7 @@
         raise NotImplementedError
 
     def _is_within_warm_up_budget(self, server: ServerModel, units: float, now_us: int) -> bool:
-        """Report whether a server in slow start has budget left for a session, counted over all proxies."""
+        """Report whether a server has slow-start budget left for a session; like the rule, it counts all proxies."""
         if server.warm_up_fraction(now_us) >= 1.0:
             return True
         spent_units = server.warm_up_budget.spent_units(now_us)
--- a/stoatgw/emulator/virtual/proxy.py
+++ b/stoatgw/emulator/virtual/proxy.py
@@ -27,7 +27,7 @@
         """Handle the end of the connection by the server, or of the server's process."""
 
     def mark_server_unreachable(self) -> None:
-        """Handle that nothing more is received from the server."""
+        """Handle the loss of the network to the server: nothing more is received from it."""
 
     def proxy_ended(self, end_kind: str) -> None:
         """Handle the end of the proxy's process; `end_kind` is `stopped` or `killed`."""
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -142,7 +142,7 @@
         self._finish(EndReason.CLIENT_DISCONNECTED)
 
     def close_by_client(self) -> None:
-        """Let the client ask its server to end the session; disconnect it if the session is not established."""
+        """Make the client ask its server to end the session; disconnect it if the session is not established."""
         if not self._state.is_established or self.server is None:
             self._host.disconnect_client(self)
             return
@@ -274,7 +274,7 @@
         self._release()
 
     def mark_server_unreachable(self) -> None:
-        """Handle that nothing more is received from the server: abandon it once a line is unanswered for too long."""
+        """Handle the loss of the network to the server: abandon it once a line is unanswered for too long."""
         server = self.server
         if server is None or not self._state.is_established:
             return
--- a/stoatgw/emulator/world/client_population.py
+++ b/stoatgw/emulator/world/client_population.py
@@ -14,21 +14,21 @@
 from stoatgw.emulator.world.world_state import WorldState
 
 COUNTERS = (
-    "tries",
-    "first_tries",
-    "up",
-    "refused",
-    "failed",
-    "timed_out",
-    "unreached",
-    "attempts",
-    "probes",
-    "moved",
-    "broken",
-    "cross_us",
-    "stood_us",
-    "late_failures",
-    "wasted",
+    "tries",  # connections that clients opened or tried to open
+    "first_tries",  # of these, the first of each series of an attempt and its retries
+    "up",  # answers UP
+    "refused",  # answers BUSY
+    "failed",  # answers ERR, and connections that broke before an answer
+    "timed_out",  # deadlines that passed before an answer
+    "unreached",  # connections that could not be opened
+    "attempts",  # attempts that proxies started; on loopback, those that reached a server
+    "probes",  # health checks
+    "moved",  # sessions that ended by MOVE
+    "broken",  # sessions that ended by a broken connection
+    "cross_us",  # of the time in `stood_us`, that between a proxy and a server in different zones
+    "stood_us",  # established time of all sessions
+    "late_failures",  # answers BUSY or ERR after the class's `on_time_ms`, and all of `timed_out`
+    "wasted",  # sent attempts that failed, unless the server did no work; counted by the virtual driver only
 )
 
 
@@ -64,7 +64,7 @@
         self.load_balancer_random = UniformSource(world.streams.create_generator("front"))
         self.setup_times_us: list[tuple[int, int]] = []
         self.counts: dict[str, int] = dict.fromkeys(COUNTERS, 0)
-        self._mass_disconnects = 0
+        self._mass_disconnects = 0  # calls of `disconnect_clients`, each of which has its own random stream
 
     # Implemented by the drivers.
 
--- a/stoatgw/emulator/world/events.py
+++ b/stoatgw/emulator/world/events.py
@@ -33,9 +33,7 @@
     SESSION_BROKEN = "cut"  # the proxy ended an established connection without MOVE
     SESSION_ENDED = "over"  # an established connection ended for another reason; detail: the reason
     PROXY_STATE_CHANGED = "proxy"  # detail: up, draining, stopped, killed, frozen or thawed
-    FAULT_CHANGED = (
-        "fault"  # a fault of the scenario began or ended; number: its index; detail: `KIND begins` or `KIND ends`
-    )
+    FAULT_CHANGED = "fault"  # a fault began or ended; number: its index; detail: `KIND begins` or `KIND ends`
     REQUESTS_LEAKED = "held"  # at the end of the run; number: requests of a proxy whose sockets have all closed
     PROGRAM_FAULT = "note"  # an internal error of a proxy or driver; detail: its text
 
--- a/stoatgw/emulator/world/proxy_settings.py
+++ b/stoatgw/emulator/world/proxy_settings.py
@@ -9,7 +9,7 @@
 TIMER_GRANULARITY_US = 5000
 DIAL_TIMEOUT_US = 250_000
 ANSWER_SLACK_US = 50_000
-MIN_WARM_UP_FRACTION = 0.01
+MIN_WARM_UP_FRACTION = 0.01  # used if servers may start without any capacity: the setting must be greater than 0
 
 
 def proxy_zone(scenario: Scenario, proxy: int) -> int:
--- a/stoatgw/emulator/world/scenario.py
+++ b/stoatgw/emulator/world/scenario.py
@@ -118,21 +118,21 @@
     count: Count = 3
     notice_s: Range = (0.82, 3.9)  # until the load balancer stops sending clients to a dead proxy
     restart_s: Range = (0.5, 1.5)  # from a planned stop to the next start
-    sockets: Count = 1024
+    sockets: Count = 1024  # limit of file descriptors
     memory_mb: Count = 192
 
 
 class PolicySettings(Table, frozen=True):
     """The settings of the decision policy that a scenario can change; `proxy_settings` maps them to LB_CONFIG."""
 
-    probes: bool = True
-    probe_price: NotNegative = 0.004
-    retry_after_most_ms: NotNegative = 1000.0
-    max_attempts: Annotated[int, msgspec.Meta(ge=1, le=20)] = 6
-    tells_delay: bool = True
-    drain_grace_ms: Positive = 3000.0
-    fall_multiple: Positive = 4.0
-    fall_ms: Positive = 1000.0
+    probes: bool = True  # whether the policy may check the health of servers
+    probe_price: NotNegative = 0.004  # cost of a health check, relative to serving one client
+    retry_after_most_ms: NotNegative = 1000.0  # maximum retry delay of a rejection; 0 sends none
+    max_attempts: Annotated[int, msgspec.Meta(ge=1, le=20)] = 6  # for each request
+    tells_delay: bool = True  # whether high message latencies are reported to the policy
+    drain_grace_ms: Positive = 3000.0  # how long a proxy may send to a server after it was notified of the drain
+    fall_multiple: Positive = 4.0  # allowed rate in slow start, as a multiple of current capacity / warm-up time
+    fall_ms: Positive = 1000.0  # window in which that rate is measured
 
 
 class Operators(Table, frozen=True):
--- a/stoatgw/emulator/world/scenario_faults.py
+++ b/stoatgw/emulator/world/scenario_faults.py
@@ -22,13 +22,13 @@
     """A share of the servers pauses repeatedly."""
 
     for_s: Positive
-    part: Share = 0.44
-    pause_ms: Range = (120.0, 300.0)
-    every_s: Range = (1.5, 2.9)
+    part: Share = 0.44  # share of the serving servers
+    pause_ms: Range = (120.0, 300.0)  # duration of each pause
+    every_s: Range = (1.5, 2.9)  # from the start of a server's pause to the start of its next one
 
 
 class Shrink(Fault, frozen=True):
-    """Servers are drained, spread over `over_s` seconds, until `to` of the serving ones are left."""
+    """Servers are drained, spread over `over_s` seconds, until a share `to` of the serving ones remains."""
 
     to: Share = 0.38
     over_s: NotNegative = 10.0
@@ -44,7 +44,7 @@
 class Drop(Fault, frozen=True):
     """A share of the clients with sessions disconnects; each reconnects within `within_s` seconds."""
 
-    part: Share = 0.56
+    part: Share = 0.56  # of the clients with sessions
     within_s: Positive = 0.44
 
 
@@ -58,7 +58,7 @@
 class RestartProxies(Fault, frozen=True):
     """All proxies are restarted by SIGTERM, one after the other."""
 
-    every_s: Positive = 4.0
+    every_s: Positive = 4.0  # from the restart of one proxy to that of the next
 
 
 class KillProxy(Fault, frozen=True):
@@ -99,7 +99,7 @@
     """A share of the servers does not refresh its load reports for `for_s` seconds."""
 
     for_s: Positive
-    part: Share = 1.0
+    part: Share = 1.0  # share of the serving servers
 
 
 class SilentDiscovery(Fault, frozen=True):
--- a/stoatgw/emulator/world/server_model.py
+++ b/stoatgw/emulator/world/server_model.py
@@ -84,7 +84,7 @@
         total_load_units: Sum of the connections' loads.
         reachable_counts: Number of connections with a reachable client, by class.
         setups_in_progress: Number of accepted set-ups that have not finished.
-        warm_up_budget: What it has been sent in slow start.
+        warm_up_budget: Counts the load units that it has been sent in slow start.
         on_collapse: Called when it collapses in slow start.
         report: The load report that health checks return.
     """
--- a/stoatgw/emulator/world/world_driver.py
+++ b/stoatgw/emulator/world/world_driver.py
@@ -42,7 +42,7 @@
         """Kill a proxy, and restart it after `restart_delay_us`."""
 
     def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
-        """Stop a proxy by SIGSTOP for `freeze_us`."""
+        """Freeze a proxy's process by SIGSTOP for `freeze_us`."""
 
     def set_zones_partitioned(self, is_partitioned: bool) -> None:
         """Partition the network between zones, or restore it."""
--- a/stoatgw/lab/commands.py
+++ b/stoatgw/lab/commands.py
@@ -30,7 +30,7 @@
     """Run an experiment with a progress bar and print its summary; return 1 if a rule was violated or a run is void.
 
     Raises:
-        LabError: The request cannot be run, or the folder contains anything else.
+        LabError: The request cannot be run, or the folder contains another experiment or other files.
         ScenarioError: The scenario cannot be used.
     """
     experiment = Experiment.plan(request)
--- a/stoatgw/lab/experiment.py
+++ b/stoatgw/lab/experiment.py
@@ -83,7 +83,7 @@
         """Check the whole request before anything is run or written, and claim the folder.
 
         Raises:
-            LabError: The driver cannot run the policies, or the folder contains anything else.
+            LabError: The driver cannot run the policies, or the folder contains another experiment or other files.
             ScenarioError: The scenario cannot be used.
         """
         scenario = load_scenario(request.scenario_file, request.changes)
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -30,7 +30,7 @@
     Attributes:
         duration_s: Time from the first step to the end of the last.
         max_machines_out: Largest number of machines out of service at once.
-        not_worked_on_once: Number of machines that were worked on twice or never.
+        not_worked_on_once: Number of machines that were not maintained exactly once.
         timed_out: Number of steps that timed out.
         clients_lost: Number of clients without an answer.
         clients_cut_off: Number of clients whose session was ended by a restart.
@@ -45,7 +45,11 @@
 
 
 def measure(servers: int, bounds: tuple[int, ...], repeats: int, out: Path) -> Iterator[str]:
-    """Measure runs for each bound; yield lines of text, and write OUT/upkeep.csv and OUT/upkeep.png."""
+    """Measure runs for each limit in `bounds`; yield lines of text, and write OUT/upkeep.csv and OUT/upkeep.png.
+
+    Raises:
+        LabError: `out` exists and is not a folder.
+    """
     from stoatgw.lab.charts import draw_maintenance
 
     if out.exists() and not out.is_dir():
--- a/stoatgw/lab/manifest.py
+++ b/stoatgw/lab/manifest.py
@@ -73,7 +73,11 @@
 
 
 def write_manifest(folder: Path, manifest: Manifest) -> None:
-    """Write an experiment's manifest. Raises OSError."""
+    """Write an experiment's manifest.
+
+    Raises:
+        OSError: The file cannot be written.
+    """
     write_atomically(manifest_file(folder), msgspec.json.format(msgspec.json.encode(manifest), indent=1) + b"\n")
 
 
--- a/stoatgw/lab/scorecard.py
+++ b/stoatgw/lab/scorecard.py
@@ -44,7 +44,7 @@
 
 
 class Scorecard:
-    """Account of sessions and lost weight; it is fed every event of a run before `compute_metrics`.
+    """Tracks the clients' sessions and the weight lost; it is fed every event of a run before `compute_metrics`.
 
     Attributes:
         lost_weight: Priority weight lost, in weighted seconds, by cause.
@@ -77,7 +77,7 @@
         self._client_by_request: dict[str, int] = {}
 
     def feed(self, event: Event) -> None:
-        """Account one event; events must be fed in the order of their time."""
+        """Process one event; events must be fed in the order of their time."""
         match event.kind:
             case EventKind.REQUEST_RECEIVED:
                 self._client_by_request[event.request_id] = int(event.detail)
@@ -106,7 +106,7 @@
     ) -> dict[str, float]:
         """Return all metrics of a finished run; the weights are by class and second."""
         for client in range(len(self._population)):
-            self._account_loss(client, self._client_state(client), self._length_us)
+            self._add_loss(client, self._client_state(client), self._length_us)
         demanded = max(1e-9, float(demanded_weight.sum()))
         lost_without_session = sum(self.lost_weight.values())
         shares = {f"lost_{cause.value}": weight / demanded for cause, weight in self.lost_weight.items()}
@@ -132,8 +132,8 @@
     def _known_client(self, event: Event) -> int | None:
         return self._client_by_request.get(event.request_id)
 
-    def _account_loss(self, client: int, state: _ClientState, until_us: int) -> None:
-        """Account the weight that the client lost since its state changed, while it wanted a session."""
+    def _add_loss(self, client: int, state: _ClientState, until_us: int) -> None:
+        """Add the weight that the client lost since its state changed, while it wanted a session."""
         end_us = min(until_us, int(self._population.departure_us[client]), self._length_us)
         if not state.is_established and not state.has_finished and end_us > state.since_us:
             weight = self._weights[int(self._population.request_class[client])]
@@ -146,13 +146,13 @@
             return
         state = self._client_state(client)
         if not state.is_established:
-            self._account_loss(client, state, event.time_us)
+            self._add_loss(client, state, event.time_us)
             state.cause = cause
 
     def _establish(self, event: Event) -> None:
         client = self._client_by_request[event.request_id]
         state = self._client_state(client)
-        self._account_loss(client, state, event.time_us)
+        self._add_loss(client, state, event.time_us)
         if event.time_us <= self._length_us and self._was_migrated_recently(state, event.time_us):
             is_same_server = state.migrated_from == event.server
             source_utilization = self._utilization(state.migrated_from)
--- a/stoatgw/lab/shared_health_checks.py
+++ b/stoatgw/lab/shared_health_checks.py
@@ -218,6 +218,9 @@
     """Measure each number of proxies and two faults; yield lines of text.
 
     The tables are written to OUT/sharing.csv and OUT/sharing-lost.csv, the chart to OUT/sharing.png.
+
+    Raises:
+        LabError: `out` exists and is not a folder.
     """
     from stoatgw.lab.charts import draw_shared_health_checks
 
--- a/stoatgw/lab/speed.py
+++ b/stoatgw/lab/speed.py
@@ -27,6 +27,7 @@
 MIN_SERVERS_FOR_SINGLE_RUN = 500  # fleets of at least this size are run once
 SMALL_FLEET_PER_CORE = (20.0, 40.0)
 SMALL_FLEET_SERVERS = 100  # smaller fleets have as many sessions per core as in other scenarios
+# The sizes of a scenario that are changed one at a time, with their values.
 AXES = {"servers": (25.0, 100.0, 400.0), "proxies": (2.0, 10.0, 50.0), "load": (0.1, 0.2, 0.4)}
 AXES_SERVERS = 100
 
