--- a/stoatgw/emulator/checker/checker.py
+++ b/stoatgw/emulator/checker/checker.py
@@ -218,7 +218,7 @@
             del self._draining_since_us[key]
 
     def _was_frozen(self, proxy: str, from_us: int, to_us: int) -> bool:
-        """Report whether a freeze of the proxy may have delayed an answer due between two times."""
+        """Return whether a freeze of the proxy may have delayed an answer due between two times."""
         freezes = self._freezes.get(proxy, ())
         return any(begin_us <= to_us and end_us >= from_us - FREEZE_RECOVERY_US for begin_us, end_us in freezes)
 
--- a/stoatgw/emulator/engine/server.py
+++ b/stoatgw/emulator/engine/server.py
@@ -1,7 +1,7 @@
 """The emulator's process: `python -m stoatgw.emulator.engine.server --listen 127.0.0.1:2379 --data FILE`.
 
 A change is stored in the file before it is answered. If the file cannot be written, the change is not made, and the
-response is status 429 with code 8, like that of an engine that is out of space. POST /stand-in/faults injects faults:
+response is status 429 with code 8, as from an engine that is out of space. POST /stand-in/faults injects faults:
 {"lose": N} executes the next N transactions but closes their connections without a response, {"slow_ms": N} delays
 responses.
 """
--- a/stoatgw/emulator/engine/store.py
+++ b/stoatgw/emulator/engine/store.py
@@ -93,7 +93,7 @@
         return [(found, self.entries[found]) for found in sorted(self.entries) if key <= found < range_end]
 
     def compare(self, key: bytes, target: CompareTarget, number: int) -> bool:
-        """Report whether a key's revision or version equals a number; all are 0 for a key that does not exist."""
+        """Return whether a key's revision or version equals a number; all are 0 for a key that does not exist."""
         entry = self.entries.get(key)
         if entry is None:
             return number == 0
--- a/stoatgw/emulator/virtual/policies.py
+++ b/stoatgw/emulator/virtual/policies.py
@@ -25,7 +25,7 @@
 SPARE_UTILIZATION_MARGIN = 0.2  # a server this far below the limit can receive migrated sessions
 MAX_PLACEMENT_UTILIZATION = 0.8  # up to which the omniscient policy places sessions on a server
 LOW_PRIORITY_UTILIZATION_REDUCTION = 0.35  # of that limit, for a session with a priority weight of 0
-REMOTE_ZONE_COST = 0.05  # added to the utilization of a server in another zone
+REMOTE_ZONE_COST = 0.05  # added to the utilization of a server in a remote zone
 WARM_UP_BUDGET_SHARE = 0.5  # share of a server's slow-start budget that these policies use
 MAX_CANDIDATES = 64  # of a large fleet, the best of a random sample is nearly as good as the best of all
 
@@ -111,7 +111,7 @@
         raise NotImplementedError
 
     def _is_within_warm_up_budget(self, server: ServerModel, units: float, now_us: int) -> bool:
-        """Report whether a server has slow-start budget left for a session; like the rule, it counts all proxies."""
+        """Return whether a server has slow-start budget left for a session; like the rule, it counts all proxies."""
         if server.warm_up_fraction(now_us) >= 1.0:
             return True
         spent_units = server.warm_up_budget.spent_units(now_us)
--- a/stoatgw/emulator/virtual/proxy_processes.py
+++ b/stoatgw/emulator/virtual/proxy_processes.py
@@ -143,7 +143,7 @@
     # Kill.
 
     def kill(self, index: int, restart_delay_us: int) -> None:
-        """End a process at once; a new one starts after `restart_delay_us`."""
+        """End a process immediately; a new one starts after `restart_delay_us`."""
         proxy = self.proxies[index]
         if proxy.has_ended:
             return
--- a/stoatgw/emulator/virtual/session_model.py
+++ b/stoatgw/emulator/virtual/session_model.py
@@ -6,10 +6,11 @@
 
 The following imitates `stoatgw.clients` and `stoatgw.backends.attempt` without sharing code, and must be kept in step:
 
-- An attempt: there a task that waits on a socket, here (`attempt_model.py`) scheduled events that are ignored once it
-  has ended. `refuse_establishment` is therefore not called here: after the end of a session no event can establish it.
+- An attempt: on sockets a task that waits, here (`attempt_model.py`) scheduled events that are ignored once it has
+  ended. `refuse_establishment` is therefore not called here: after the end of a session no event can establish it.
 - Migration: lines are not modelled, so MOVE never waits for the end of one.
-- The time until an unresponsive server is abandoned: 5 s here and 4 s in `SessionMonitor`; random here, polled there.
+- The time until an unresponsive server is abandoned: a timeout of 5 s plus random delays here, where `SessionMonitor`
+  polls with a timeout of 4 s.
 """
 
 from __future__ import annotations
--- a/stoatgw/emulator/world/warm_up.py
+++ b/stoatgw/emulator/world/warm_up.py
@@ -36,7 +36,7 @@
         return sum(units for time_us, units in self._recent_sends if time_us > now_us - self._window_us)
 
     def is_exceeded_by(self, now_us: int, units: float, fraction: float) -> bool:
-        """Count `units` as sent now, and report whether the budget of the window is exceeded."""
+        """Count `units` as sent now, and return whether the budget of the window is exceeded."""
         sends = self._recent_sends
         sends.append((now_us, units))
         while sends[0][0] <= now_us - self._window_us:
--- a/stoatgw/emulator/world/world_state.py
+++ b/stoatgw/emulator/world/world_state.py
@@ -139,7 +139,7 @@
         return self.network.latency_us(zone, server.properties.zone)
 
     def is_unreachable(self, zone: int, server: ServerModel) -> bool:
-        """Report whether a server cannot be reached from a proxy's zone."""
+        """Return whether a server cannot be reached from a proxy's zone."""
         is_cut_off = self.is_partitioned and zone != server.properties.zone
         return server.lifecycle is ServerLifecycle.VANISHED or is_cut_off
 
@@ -204,7 +204,7 @@
             self.kill_server(server)
 
     def drain_server(self, server: ServerModel) -> None:
-        """Drain a server: it migrates all sessions at once, rejects new ones, and ends after a delay."""
+        """Drain a server: it migrates all sessions immediately, rejects new ones, and ends after a delay."""
         if server.lifecycle is not ServerLifecycle.SERVING:
             return
         now_us = self.scheduler.now_us()
--- a/stoatgw/lab/bench/load.py
+++ b/stoatgw/lab/bench/load.py
@@ -31,7 +31,7 @@
 class Workload(StrEnum):
     """Kind of load that a load generator produces."""
 
-    SETUPS = "setups"  # opens sessions and closes them at once
+    SETUPS = "setups"  # opens sessions and closes them immediately
     LINES = "lines"  # exchanges lines on sessions that stay open
     HOLD = "hold"  # holds sessions open until END is received
 
@@ -102,7 +102,7 @@
 
 
 async def _set_up_sessions(target: Endpoint, request_numbers: Iterator[int], until_s: float) -> int:
-    """Open sessions and close them at once; return the number of established ones."""
+    """Open sessions and close them immediately; return the number of established ones."""
     established = 0
     while time.perf_counter() < until_s:
         try:
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -96,7 +96,7 @@
     )
 
     def has_reached_half(snapshot: StoreSnapshot) -> bool:
-        """Report whether a leader is elected and half of the steps have begun."""
+        """Return whether a leader is elected and half of the steps have begun."""
         rollout = snapshot.rollout
         return snapshot.fencing_token > 0 and rollout is not None and len(rollout.steps) >= servers // 2
 
--- a/stoatgw/lab/manifest.py
+++ b/stoatgw/lab/manifest.py
@@ -45,7 +45,7 @@
     versions: dict[str, str]
 
     def is_same_experiment(self, other: Manifest) -> bool:
-        """Report whether both describe the same experiment; seeds and policies may differ."""
+        """Return whether both describe the same experiment; seeds and policies may differ."""
         return self._identity() == other._identity()
 
     def _identity(self) -> tuple[int, str, str, str]:
--- a/stoatgw/lab/shared_health_checks.py
+++ b/stoatgw/lab/shared_health_checks.py
@@ -101,7 +101,7 @@
             reconcile_pass.send(None)
         except StopIteration:
             return
-        raise RuntimeError("a reconcile pass waited; virtual time requires that it completes at once")
+        raise RuntimeError("a reconcile pass waited; virtual time requires that it completes immediately")
 
 
 class SimulatedFleet:
@@ -142,7 +142,7 @@
         return self._servers
 
     def call(self, path: str, body: etcd_api.Body) -> etcd_api.Body | CallFailure:
-        """Execute a call on the engine at once."""
+        """Execute a call on the engine immediately."""
         self.calls += 1
         try:
             response = handle_call(self.store, path, body, self.now_us)
