--- a/stoatgw/emulator/engine/gateway.py
+++ b/stoatgw/emulator/engine/gateway.py
@@ -48,14 +48,14 @@
     try:
         return base64.b64decode(body.get(field, ""), validate=True)
     except (TypeError, ValueError, binascii.Error):
-        raise InvalidCallError(f"{field}: not valid base64") from None
+        raise InvalidCallError(f"{field}: no base64") from None
 
 
 def _read_number(body: Body, field: str) -> int:
     try:
         return int(body.get(field, 0))
     except (TypeError, ValueError):
-        raise InvalidCallError(f"{field}: not a number") from None
+        raise InvalidCallError(f"{field}: no number") from None
 
 
 def _format_header(store: Store) -> Body:
@@ -142,7 +142,7 @@
     except ValueError:
         target = None
     if target is None or comparison.get("result", "EQUAL") != "EQUAL":
-        raise InvalidCallError("compare: only EQUAL of CREATE, MOD and VERSION is implemented")
+        raise InvalidCallError("compare: only EQUAL of CREATE, MOD and VERSION is here")
     return store.compare(_read_bytes(comparison, "key"), target, _read_number(comparison, COMPARED_FIELDS[target]))
 
 
