--- a/stoatgw/emulator/loopback/maintenance/run.py
+++ b/stoatgw/emulator/loopback/maintenance/run.py
@@ -40,7 +40,7 @@
         links: Each proxy's link to the engine.
         engine: The engine's process.
         clients: The clients, and what they observed.
-        work_counts: How often staff worked on each machine.
+        restart_counts: How often staff worked on each machine.
         max_servers_down: The most session servers that staff worked on at once.
     """
 
@@ -73,7 +73,7 @@
         self.clients = LoopbackClients(self.host, ports)
         self._client_count = clients
         self.proxies = self._make_proxies(ports, full_disks, sharing)
-        self.work_counts: Counter[str] = Counter()
+        self.restart_counts: Counter[str] = Counter()
         self.max_servers_down = 0
         self._servers_down = 0
         self._tasks: set[asyncio.Task[None]] = set()
@@ -200,7 +200,7 @@
             await asyncio.sleep(STAFF_INTERVAL_S)
 
     async def _work_on(self, name: str) -> None:
-        self.work_counts[name] += 1
+        self.restart_counts[name] += 1
         if name.startswith(PROXY_PREFIX):
             proxy = self.proxies[int(name.removeprefix(PROXY_PREFIX + "n"))]
             await proxy.end(signal.SIGTERM)
--- a/stoatgw/lab/maintenance_report.py
+++ b/stoatgw/lab/maintenance_report.py
@@ -114,7 +114,7 @@
             return RunResult(
                 duration_s=asyncio.get_running_loop().time() - started_s,
                 max_machines_out=max(len(state.machines_out_of_service()) for state in run.rollout_history()),
-                not_worked_on_once=sum(run.work_counts[name] != 1 for name in plan.machines),
+                not_worked_on_once=sum(run.restart_counts[name] != 1 for name in plan.machines),
                 timed_out=sum(step.state is StepState.LATE for step in rollout.steps.values()),
                 clients_lost=run.clients.tally.lost,
                 clients_cut_off=run.clients.tally.cut_off,
--- a/tests/test_maintenance_run.py
+++ b/tests/test_maintenance_run.py
@@ -119,7 +119,7 @@
         assert_run_kept_bounds(run)
         assert [step.state for step in rollout.steps.values()] == [StepState.DONE] * 4
         # By those who did the work, whatever the state says: each machine once, never three at a time.
-        assert run.work_counts == Counter(PLAN.machines)
+        assert run.restart_counts == Counter(PLAN.machines)
         assert run.max_servers_down <= PLAN.max_unavailable_servers
         assert run.clients.tally.lost == 0
         assert set(run.clients.tally.answers) <= {"UP", "BUSY"}
@@ -140,7 +140,7 @@
         rollout = await run.wait_until_finished()
         assert_run_kept_bounds(run)
         assert [step.state for step in rollout.steps.values()] == [StepState.DONE] * 3
-        assert run.work_counts == Counter(plan.machines)
+        assert run.restart_counts == Counter(plan.machines)
         assert run.clients.tally.lost == 0
         # A lasting condition is logged once.
         assert len(run.proxies[0].events_named("maintenance_state_file_write_failed")) == 1
@@ -221,7 +221,7 @@
         snapshot = await run.read_snapshot()
         assert snapshot is not None
         assert snapshot.rollout is None
-        assert max(run.work_counts.values()) == 1
+        assert max(run.restart_counts.values()) == 1
         assert run.max_servers_down <= PLAN.max_unavailable_servers
 
     run_maintenance(tmp_path, PLAN, test)
