--- a/stoatgw/emulator/loopback/__init__.py
+++ b/stoatgw/emulator/loopback/__init__.py
@@ -1,6 +1,6 @@
-"""The loopback driver: real proxies as processes before simulated servers and clients on 127.0.0.0/8, in real time.
+"""The loopback driver: real proxy processes between simulated clients and servers on 127.0.0.0/8, in real time.
 
-The simulated parties speak the platform's protocol and follow the world model; the same event log goes to the same
-checker. It promises that a run whose driver was late says so and is void. What loopback cannot show is listed in
-docs/emulator.md.
+The simulated clients and servers speak the platform's protocol and follow the world model. A run writes the same event
+log as the virtual driver, for the same checker. A run whose driver fell behind real time is reported as invalid.
+docs/emulator.md lists what loopback runs cannot show.
 """
--- a/stoatgw/emulator/loopback/addresses.py
+++ b/stoatgw/emulator/loopback/addresses.py
@@ -1,4 +1,7 @@
-"""The addresses of a loopback run. Each proxy reaches each server at an address of its own: so the caller is known."""
+"""Addresses of a loopback run.
+
+A server has a separate address for each proxy, so that it knows which proxy has connected.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +17,25 @@
 
 @dataclass(frozen=True, slots=True)
 class AddressPlan:
-    """All addresses are in 127.BASE.0.0/16 and the networks after it, one for each proxy."""
+    """Assignment of loopback addresses.
+
+    Proxies and discovery are in 127.BASE.0.0/16; the servers' addresses for proxy N are in 127.(BASE + 1 + N).0.0/16.
+
+    Attributes:
+        base_network: BASE, the second octet of the first network.
+    """
 
     base_network: int
 
     def proxy(self, proxy: int) -> Address:
-        """Where a proxy listens for clients."""
+        """Return the address at which a proxy listens for clients."""
         return f"127.{self.base_network}.{PROXY_NETWORK}.{proxy + 1}", PORT
 
     def discovery(self, proxy: int) -> Address:
-        """Where a proxy finds discovery."""
+        """Return the address at which a proxy connects to discovery."""
         return f"127.{self.base_network}.{DISCOVERY_NETWORK}.{proxy + 1}", PORT
 
     def server(self, server: int, proxy: int) -> Address:
-        """Where a proxy reaches a server."""
+        """Return the address at which a proxy connects to a server."""
         host = 1 + server % SERVERS_PER_NETWORK
         return f"127.{self.base_network + 1 + proxy}.{server // SERVERS_PER_NETWORK}.{host}", PORT
--- a/stoatgw/emulator/loopback/discovery.py
+++ b/stoatgw/emulator/loopback/discovery.py
@@ -1,4 +1,4 @@
-"""Simulated discovery: one address for each proxy, with the full list or a watch over HTTP/1.1."""
+"""Simulated discovery: it serves each proxy, at a separate address, the full endpoint list or a watch over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from stoatgw.emulator.loopback.run_state import RunState
 from stoatgw.emulator.world.endpoint_publication import EndpointEntry
 
-HEARTBEAT_INTERVAL_S = 2.0  # of empty lines on a watch
+HEARTBEAT_INTERVAL_S = 2.0  # between empty lines on a watch
 MAX_REQUEST_BYTES = 16_384
 STOP_TIMEOUT_S = 2.0
 
 
 class DiscoveryEndpoint:
-    """The discovery agent on one proxy's machine."""
+    """The discovery server of one proxy, as a discovery agent on its machine would be."""
 
     def __init__(self, run: RunState, proxy: int) -> None:
         self._run = run
@@ -32,7 +32,7 @@
         self._sock: socket.socket | None = None
 
     def open(self) -> None:
-        """Listen."""
+        """Accept connections, and send heartbeats on watches."""
         self._sock = wire.listen(self._run.addresses.discovery(self._proxy))
         self._spawn(self._accept(self._sock))
         self._spawn(self._send_heartbeats())
@@ -43,7 +43,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all connections and the listener."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -52,10 +52,10 @@
         if self._sock is not None:
             self._sock.close()
 
-    # What it publishes.
+    # Publication.
 
     def snapshot(self) -> dict[str, Any]:
-        """The full list as the proxy knows it."""
+        """Return the full list, as published to the proxy so far."""
         return self._page(list(self._world.discovery.known_endpoints[self._proxy].values()), is_snapshot=True)
 
     def publish(self, entries: list[EndpointEntry], is_snapshot: bool) -> None:
@@ -66,7 +66,7 @@
             watch.write(_chunk(line))
 
     def corrupt_watches(self) -> None:
-        """Send a line that is no JSON, an object without its list, and an end in the middle of a chunk."""
+        """Send a line that is not JSON and an object without its list, and end the stream in the middle of a chunk."""
         for watch in list(self._watches):
             watch.write(_chunk(b'{"generation":\xff,"inst\n') + _chunk(b'{"generation":7}\n') + b"ffff\r\n{")
             watch.end()
@@ -131,7 +131,7 @@
         self._world.log_notified(self._proxy, list(self._world.discovery.known_endpoints[self._proxy].values()))
         self._watches.add(lines)
         while await lines.read_line() is not None:
-            pass  # the client sends nothing more; its end is awaited
+            pass  # the client sends nothing more: wait until it closes the connection
 
 
 def _chunk(data: bytes) -> bytes:
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -191,7 +191,7 @@
         """Its connections stay open and silent, and new ones are not answered."""
         endpoint = self._servers[server.name]
         for proxy in range(len(self.world.proxy_names)):
-            endpoint.set_muted(proxy, True)
+            endpoint.set_unresponsive(proxy, True)
         self._mark_all_ended(endpoint)
 
     def _mark_all_ended(self, endpoint: ServerEndpoint) -> None:
@@ -208,7 +208,7 @@
             for endpoint in self._servers.values():
                 is_remote = self.world.proxy_zone(proxy) != endpoint.model.properties.zone
                 if endpoint.model.lifecycle is ServerLifecycle.SERVING and is_remote:
-                    endpoint.set_muted(proxy, is_partitioned)
+                    endpoint.set_unresponsive(proxy, is_partitioned)
 
     # Proxies: see WorldDriver.
 
--- a/stoatgw/emulator/loopback/processes.py
+++ b/stoatgw/emulator/loopback/processes.py
@@ -1,4 +1,4 @@
-"""Real proxies as child processes: started, stopped, killed, frozen, by the ids that were started here."""
+"""Real proxies as child processes, which are started, signalled, stopped and killed here."""
 
 from __future__ import annotations
 
@@ -20,11 +20,17 @@
 POLL_INTERVAL_S = 0.05
 STOP_POLL_INTERVAL_S = 0.02
 PING_TIMEOUT_S = 1.0
-UNREADABLE_EVENT = "unreadable"  # stands for a log line that is no JSON
+UNREADABLE_EVENT = "unreadable"  # the event name given to a log line that is not JSON
 
 
 class ProxyProcess:
-    """One real proxy, pinned to cores, with its log in a file."""
+    """One real proxy, pinned to cores, with a log file for each start.
+
+    Attributes:
+        name: The proxy's name.
+        address: The address at which it listens for clients.
+        logs: Its log files, in the order of its starts.
+    """
 
     def __init__(
         self,
@@ -34,7 +40,15 @@
         cores: set[int],
         environment: dict[str, str] | None = None,
     ) -> None:
-        """`environment`: further variables, such as the name of the operators' own file."""
+        """Write the proxy's configuration file; the process is not started yet.
+
+        Args:
+            name: The proxy's name.
+            config: The contents of the file named by LB_CONFIG.
+            folder: Where the configuration and the logs are written.
+            cores: The cores that the process may run on.
+            environment: Further variables, such as STOATGW_CONFIG with the path of the operators' file.
+        """
         self.name = name
         self.address = _parse_address(config["listen"])
         self.logs: list[Path] = []
@@ -48,7 +62,7 @@
         self._log: BinaryIO | None = None
 
     def start(self) -> None:
-        """Start it anew, with a log of its own."""
+        """Start a new process, with a new log file."""
         self._start_count += 1
         path = self._folder / f"{self.name}-{self._start_count}.log"
         self.logs.append(path)
@@ -65,15 +79,15 @@
             os.sched_setaffinity(self._process.pid, self._cores)
 
     def _full_environment(self) -> dict[str, str]:
-        """Our own environment, with no configuration but this proxy's."""
+        """Return this process's environment, with all configuration variables replaced by this proxy's."""
         inherited = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))}
-        own = {
+        overrides = {
             "LB_CONFIG": str(self._config),
             "LB_NAME": self.name,
             "PYTHONDONTWRITEBYTECODE": "1",
             "PYTHONPATH": str(ROOT),
         }
-        return inherited | own | self._environment
+        return inherited | overrides | self._environment
 
     @property
     def is_running(self) -> bool:
@@ -82,16 +96,16 @@
 
     @property
     def pid(self) -> int:
-        """The id of the process started last, or 0."""
+        """The id of the last started process; 0 before the first start."""
         return self._process.pid if self._process is not None else 0
 
     @property
     def exit_status(self) -> int | None:
-        """The status of a process that has ended."""
+        """The exit status of the last started process; None if there is none or it still runs."""
         return self._process.poll() if self._process is not None else None
 
     def peak_memory_mib(self) -> int:
-        """Peak resident memory of the process that runs now; 0 if none does."""
+        """Return the peak resident memory of the running process; 0 if none runs."""
         with contextlib.suppress(OSError, ValueError):
             for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
                 if line.startswith("VmHWM:"):
@@ -104,7 +118,7 @@
             self._process.send_signal(number)
 
     async def wait_ready(self, timeout_s: float = READY_TIMEOUT_S) -> bool:
-        """Wait until PING is answered by PONG; False if the process ends or the time is over before."""
+        """Wait until PING is answered by PONG; return False if the process ends or the timeout passes first."""
         deadline_s = time.monotonic() + timeout_s
         while time.monotonic() < deadline_s and self.is_running:
             with contextlib.suppress(OSError, TimeoutError):
@@ -123,7 +137,7 @@
                 writer.close()
 
     async def wait_stopped(self, timeout_s: float = STOP_TIMEOUT_S) -> bool:
-        """Wait for the end of the process; kill it and give False when it does not come in time."""
+        """Wait for the process to end; if it does not within the timeout, kill it and return False."""
         deadline_s = time.monotonic() + timeout_s
         while True:
             if not self.is_running:
@@ -140,7 +154,7 @@
             self._process.wait()
 
     def read_log_events(self, start_number: int | None = None) -> list[dict[str, Any]]:
-        """Its log events: of all starts, or of one (1 is the first)."""
+        """Return the log events of all starts, or of one start, counted from 1."""
         paths = self.logs if start_number is None else self.logs[start_number - 1 : start_number]
         return [_decode_log_line(line) for path in paths for line in path.read_bytes().splitlines()]
 
--- a/stoatgw/emulator/loopback/servers.py
+++ b/stoatgw/emulator/loopback/servers.py
@@ -1,4 +1,4 @@
-"""Simulated session servers: a model behind one listening address for each proxy."""
+"""Simulated session servers: the sockets of a server model, with a listening address for each proxy."""
 
 from __future__ import annotations
 
@@ -15,10 +15,16 @@
 
 
 class ServerEndpoint:
-    """Speaks the platform's protocol to the proxies, and does what its model decides."""
+    """Speaks the platform's protocol to the proxies, and carries out the decisions of its model.
+
+    Attributes:
+        model: The server's model.
+        name: The server's name.
+        connections: The connections that have sent a session request.
+    """
 
     def __init__(self, run: RunState, model: ServerModel, number: int) -> None:
-        """`number` selects its addresses."""
+        """Create a server that does not listen yet; `number` selects its addresses."""
         self.model = model
         self.name = model.name
         self.connections: set[ServerConnection] = set()
@@ -27,27 +33,27 @@
         self._scheduler = run.world.scheduler
         self._listeners = ServerListeners(run.addresses, number, self._serve)
 
-    # The process.
+    # The server process.
 
     def open(self) -> None:
         """Listen for all proxies."""
         self._listeners.open(len(self._world.proxy_names))
 
     def refuse(self) -> None:
-        """The process is gone: new connections are refused, established ones are reset."""
+        """Act as a server whose process has ended: refuse new connections and reset established ones."""
         self._listeners.refuse()
         for connection in list(self.connections):
             connection.reset("died")
 
-    def set_muted(self, proxy: int, is_muted: bool) -> None:
-        """Whether nothing passes between it and a proxy: sessions stay silent, new connections are not answered."""
+    def set_unresponsive(self, proxy: int, is_unresponsive: bool) -> None:
+        """Set whether the server ignores a proxy: messages on its sessions and its new connections."""
         for connection in self.connections:
             if connection.proxy == proxy:
-                connection.is_muted = is_muted
-        self._listeners.set_muted(proxy, is_muted)
+                connection.is_unresponsive = is_unresponsive
+        self._listeners.set_unresponsive(proxy, is_unresponsive)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all listeners and connections."""
         self.refuse()
         await self._listeners.stop()
 
@@ -82,7 +88,7 @@
     def _register(self, lines: LineSocket, proxy: int) -> ServerConnection:
         task = asyncio.current_task()
         if task is None:
-            raise RuntimeError("a connection is served outside a task")
+            raise RuntimeError("a connection must be served in a task")
         connection = ServerConnection(self._run, self.name, proxy, lines, task)
         self.connections.add(connection)
         self._run.open_connections.add(connection)
@@ -113,10 +119,10 @@
     # Session set-up.
 
     def _handle_open(self, connection: ServerConnection, line: bytes) -> None:
-        """A complete session request."""
-        words = line.split(b" ")
-        fields = dict(part.partition(b"=")[::2] for part in words[-1].split(b","))
-        connection.request_id = words[1].decode("ascii", "replace")
+        """Process a session request: check it, then let the model decide on the set-up."""
+        tokens = line.split(b" ")
+        fields = dict(field.partition(b"=")[::2] for field in tokens[-1].split(b","))
+        connection.request_id = tokens[1].decode("ascii", "replace")
         session = self._run.sessions.get(connection.request_id)
         if session is None or not session.matches_request(line):
             self._run.report_violation(f"{self.name}: a line that no client sent in this form: {line[:120]!r}")
@@ -142,14 +148,18 @@
         self._scheduler.call_at(decision.decided_at_us, finish)
 
     def _log_attempt(self, connection: ServerConnection, units: float) -> None:
-        """On loopback a complete line arrives as it is sent."""
+        """Log an attempt as sent and executed at once: on loopback a complete line is received as it is sent."""
         proxy_name = self._world.proxy_names[connection.proxy]
-        about = (proxy_name, connection.request_id, self.name, connection.attempt)
-        self._world.log(EventKind.ATTEMPT_SENT, *about)
-        self._world.log(EventKind.ATTEMPT_EXECUTED, *about, f"{units:g}")
+        subject = (proxy_name, connection.request_id, self.name, connection.attempt)
+        self._world.log(EventKind.ATTEMPT_SENT, *subject)
+        self._world.log(EventKind.ATTEMPT_EXECUTED, *subject, f"{units:g}")
 
     def _finish_setup(self, connection: ServerConnection, outcome: SetupOutcome, started_us: int) -> None:
-        """The decision on a request is due; `started_us` tells whether the process is still the same."""
+        """Answer a request once the model's decision is due.
+
+        `started_us` is the start time of the process that received the request: if the model's start time differs,
+        that process has ended since.
+        """
         model = self.model
         if model.started_us == started_us and model.setups_in_progress > 0:
             model.finish_setup()
@@ -191,15 +201,15 @@
             self._scheduler.call_at(now_us + change_us, partial(self._change_load, connection))
 
     def _handle_message(self, connection: ServerConnection, line: bytes) -> None:
-        """Answer a message by the same line once the model has processed it; `quit` is answered by BYE."""
-        if connection.is_muted:
+        """Answer a message with the same line once the model has processed it, and `quit` with BYE."""
+        if connection.is_unresponsive:
             return
         now_us = self._scheduler.now_us()
         self.model.advance_to(now_us)
         if line == b"quit":
             connection.end("BYE", b"BYE\r\n")
             return
-        # Messages of one connection are answered in their order, however long each would take by itself.
+        # Messages of one connection are answered in order, whatever latency is drawn for each.
         latency_us = int(self.model.draw_message_latency_s() * 1e6)
         connection.last_answer_us = max(connection.last_answer_us + 1, now_us + latency_us)
         connection.pending_answers.append(line + b"\r\n")
--- a/stoatgw/emulator/loopback/wire.py
+++ b/stoatgw/emulator/loopback/wire.py
@@ -1,4 +1,4 @@
-"""Line sockets on the running event loop, and listening sockets."""
+"""Sockets that carry lines of text on the running event loop, and listening sockets."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 MAX_LINE_BYTES = 4096
 RECEIVE_BYTES = 65536
 BACKLOG = 1024
-_RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+_RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: close sends a reset
 
 
 def listen(address: Address) -> socket.socket:
-    """A non-blocking listening socket."""
+    """Return a non-blocking listening socket."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setblocking(False)
@@ -26,7 +26,10 @@
 
 
 class LineSocket:
-    """Lines over a non-blocking socket; writes go out at once or in the background, in order."""
+    """Lines over a non-blocking socket.
+
+    Writes never block: what the socket does not accept at once is sent in the background, in order.
+    """
 
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
@@ -39,7 +42,7 @@
         self.is_closed = False
 
     async def read_line(self) -> bytes | None:
-        """The next line without its end; None at the end of the stream.
+        """Return the next line without its line end, or None at the end of the stream.
 
         Raises:
             OSError: The connection was reset, or a line is too long.
@@ -59,7 +62,7 @@
             self._received += data
 
     def has_peer_ended(self) -> bool:
-        """Whether the peer has ended its side, and all that it sent is read."""
+        """Report whether the peer has closed its side and no received data is unread."""
         try:
             return self._sock.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
@@ -68,7 +71,7 @@
             return True
 
     def write(self, line: bytes) -> None:
-        """Send bytes after all that was written before; an error shows at the reader."""
+        """Send bytes after those written before; errors are ignored here, as the reader sees them too."""
         if self.is_closed:
             return
         if self._writer is None:
@@ -94,12 +97,16 @@
         self._writer = None
 
     def end(self) -> None:
-        """End our side; the peer's may go on."""
+        """Close the sending side (half-close); the peer can still send."""
         with contextlib.suppress(OSError):
             self._sock.shutdown(socket.SHUT_WR)
 
     def close(self, *, reset: bool = False) -> None:
-        """Close both sides. A reader is woken first: a descriptor that is waited on may not be closed."""
+        """Close the connection, by a reset if asked to.
+
+        Without a reset the socket is shut down first, which wakes a pending reader: a descriptor that the event loop
+        still waits on must not be closed.
+        """
         if self.is_closed:
             return
         self.is_closed = True
