--- a/stoatgw/emulator/loopback/clock.py
+++ b/stoatgw/emulator/loopback/clock.py
@@ -48,7 +48,7 @@
         self._max_lateness_us = max(self._max_lateness_us, lateness_us)
         try:
             callback()
-        except Exception as error:  # a fault of the simulation: the proxy must not be blamed for its effects
+        except Exception as error:  # a fault of the simulation, which must not count as one of the proxy
             self.failures.append(repr(error))
 
     def start_measurement(self) -> None:
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -1,4 +1,4 @@
-"""The loopback driver: it makes happen on sockets and processes what the world model says."""
+"""The loopback driver: it carries out the world model's events on sockets and processes."""
 
 from __future__ import annotations
 
@@ -27,26 +27,32 @@
 from stoatgw.emulator.world.world_state import WorldState, drop_connections
 
 BASE_NETWORK = 60  # the addresses are 127.60.x.x and up
-SETTLE_S = 4.0  # after the last arrival, until all is answered
+SETTLE_S = 4.0  # after the scenario's end, for the last requests to be answered
 INITIAL_SESSIONS_TIMEOUT_S = 40.0
 INITIAL_BATCH_SIZE = 50
 INITIAL_BATCH_INTERVAL_S = 0.05
-CLOSE_S = 0.05  # for the last callbacks of cancelled tasks
+CLOSE_S = 0.05  # time for the last callbacks of cancelled tasks
 
 ObserveStart = Callable[[WorldState], dict[str, list[float]]]
 
 
 class LoopbackDriver(ClientPopulation[ClientConnection]):
-    """One loopback run: `run` plays it; the results are in `world`, `counts` and `setup_times_us`."""
+    """One loopback run, which `run` executes; the results are in `world`, `counts` and `setup_times_us`.
+
+    Attributes:
+        scheduler: The run's clock and timers.
+        observe_start: Called as the run starts; returns the series for `utilization_samples`, which it may fill later.
+        utilization_samples: What `observe_start` returned.
+    """
 
     def __init__(
         self, scenario: Scenario, seed: int, sink: EventSink, folder: Path, base_network: int = BASE_NETWORK
     ) -> None:
-        """To be called on the event loop that the run takes place on; `folder` is for temporary files."""
+        """Create a run on the running event loop; `folder` is for temporary files."""
         self.scheduler = RealTimeScheduler(asyncio.get_running_loop())
         super().__init__(WorldState(scenario, seed, self.scheduler, sink, has_server_accounting=False))
-        self.observe_start: ObserveStart | None = None  # called as the run starts
-        self.utilization_samples: dict[str, list[float]] = {}  # what it gave
+        self.observe_start: ObserveStart | None = None
+        self.utilization_samples: dict[str, list[float]] = {}
         self._run = RunState(self.world, AddressPlan(base_network), self.counts)
         self._servers: dict[str, ServerEndpoint] = {}
         self._connections: list[ClientConnection] = []
@@ -56,10 +62,10 @@
     # The run.
 
     async def run(self) -> str:
-        """Play the scenario; gives why the run is void, or an empty text.
+        """Run the scenario; return why the run is invalid, or an empty text.
 
         Raises:
-            LoopbackError: The run could not begin.
+            LoopbackError: The run could not start.
         """
         try:
             await self._start()
@@ -105,7 +111,7 @@
         server.open()
 
     async def _establish_initial_sessions(self) -> None:
-        """The sessions that are established at the start come by `at=ID`; the run starts once they are up."""
+        """Establish the initial sessions by requests with `at=ID`, and wait until all are established."""
         connections = []
         for index, server_name in enumerate(self.world.initial_placements()):
             connection = self._connect(index, self._initial_proxy(index), server_name)
@@ -113,17 +119,17 @@
             self.register_established(connection)
             connections.append(connection)
             if (index + 1) % INITIAL_BATCH_SIZE == 0:
-                await asyncio.sleep(INITIAL_BATCH_INTERVAL_S)  # not all in one burst: the run has not begun
+                await asyncio.sleep(INITIAL_BATCH_INTERVAL_S)  # avoid a burst before the run has started
         if connections:
             futures = [connection.established for connection in connections]
             await asyncio.wait(futures, timeout=INITIAL_SESSIONS_TIMEOUT_S)
         established = [each for each in connections if each.established.done() and each.established.result()]
         missing = len(connections) - len(established)
         if missing:
-            raise LoopbackError(f"{missing} of {len(connections)} standing connections did not come up")
+            raise LoopbackError(f"{missing} of {len(connections)} initial sessions were not established")
 
     def _initial_proxy(self, index: int) -> int:
-        """A proxy of the client's zone; the first proxy if there is none."""
+        """Return a proxy in the client's zone, or the first proxy if the zone has none."""
         zone = int(self.world.population.zone[index])
         proxies = range(len(self.world.proxy_names))
         local = [proxy for proxy in proxies if self.world.proxy_zone(proxy) == zone] or [0]
@@ -137,7 +143,7 @@
     # Clients: see ClientPopulation and SessionHost.
 
     def is_running(self, proxy: int) -> bool:
-        """Whether a proxy's process runs, and is not being ended on purpose."""
+        """Report whether a proxy's process runs and the driver has not ended it."""
         return self._proxies.is_running(proxy)
 
     def open_session(self, index: int, proxy: int) -> ClientConnection | None:
@@ -145,19 +151,19 @@
         return self._connect(index, proxy)
 
     def disconnect_client(self, session: ClientConnection) -> None:
-        """The client closes its side."""
+        """Close the connection from the client's side."""
         kind = EventKind.SESSION_ENDED if session.server else EventKind.CLIENT_DISCONNECTED
         self.world.log(kind, self.world.proxy_names[session.proxy], session.name, detail="client left")
         session.disconnect()
 
     def finish_session(self, session: ClientConnection) -> None:
-        """The client asks its server to end the session."""
+        """Ask the session's server, as its client, to end the session."""
         session.finish()
 
     # Discovery: see WorldDriver.
 
     def publish_endpoints(self, proxy: int, entries: list[EndpointEntry], is_snapshot: bool) -> None:
-        """Send a proxy its entries."""
+        """Send a proxy endpoint entries: a full snapshot, or changes."""
         self._discoveries[proxy].publish(entries, is_snapshot)
         self.world.log_notified(proxy, entries)
 
@@ -168,27 +174,27 @@
     # Servers: see WorldDriver.
 
     def on_server_added(self, server: ServerModel) -> None:
-        """Listen for a server that is new, or whose process is back."""
+        """Listen for a server that is new or was restarted."""
         if server.name in self._servers:
             self._servers[server.name].open()
         else:
             self._open_server(server)
 
     def on_server_draining(self, server: ServerModel) -> None:
-        """It sends MOVE on all its sessions and ends them."""
+        """End all sessions of a draining server by MOVE."""
         for connection in list(self._servers[server.name].connections):
             if connection.is_established:
                 self._run.ended_by_server.add(connection.request_id)
                 connection.end("MOVE", b"MOVE\r\n")
 
     def on_server_stopped(self, server: ServerModel) -> None:
-        """Its connections are reset, and new ones are refused."""
+        """Reset all connections of a stopped server, and refuse new ones."""
         endpoint = self._servers[server.name]
         self._mark_all_ended(endpoint)
         endpoint.refuse()
 
     def on_server_vanished(self, server: ServerModel) -> None:
-        """Its connections stay open and silent, and new ones are not answered."""
+        """Leave all connections of a vanished server open but unanswered, and new ones unanswered too."""
         endpoint = self._servers[server.name]
         for proxy in range(len(self.world.proxy_names)):
             endpoint.set_unresponsive(proxy, True)
@@ -198,12 +204,12 @@
         self._run.ended_by_server.update(connection.request_id for connection in endpoint.connections)
 
     def on_connections_dropped(self, server: ServerModel, connections: list[HeldConnection]) -> None:
-        """A server closes connections because of its backlog."""
+        """Close connections that a server drops because of its backlog."""
         self._run.ended_by_server.update(connection.connection_id for connection in connections)
         drop_connections(connections)
 
     def set_zones_partitioned(self, is_partitioned: bool) -> None:
-        """Cut or restore the network between zones."""
+        """Partition the network between zones, or restore it."""
         for proxy in range(len(self.world.proxy_names)):
             for endpoint in self._servers.values():
                 is_remote = self.world.proxy_zone(proxy) != endpoint.model.properties.zone
@@ -221,7 +227,7 @@
         self._proxies.kill(proxy, restart_delay_us)
 
     def freeze_proxy(self, proxy: int, freeze_us: int) -> None:
-        """Stop a proxy by SIGSTOP for a time."""
+        """Freeze a proxy's process by SIGSTOP for `freeze_us`."""
         self._proxies.freeze(proxy, freeze_us)
 
 
@@ -232,9 +238,17 @@
     base_network: int = BASE_NETWORK,
     observe_start: ObserveStart | None = None,
 ) -> tuple[LoopbackDriver, str]:
-    """Play one loopback run on an event loop of its own; gives the driver and why the run is void, or an empty text.
+    """Execute one loopback run on a new event loop.
+
+    Args:
+        scenario: The scenario.
+        seed: The seed of its random streams.
+        sink: Receives the run's events.
+        base_network: The second octet of the run's first 127.x network.
+        observe_start: Called with the world as the run starts; its result becomes `utilization_samples`.
 
-    `observe_start` is called with the world as the run starts; what it gives becomes `utilization_samples`.
+    Returns:
+        The driver, and why the run is invalid, or an empty text.
     """
     affinity = os.sched_getaffinity(0)
 
--- a/stoatgw/emulator/loopback/proxy_fleet.py
+++ b/stoatgw/emulator/loopback/proxy_fleet.py
@@ -18,9 +18,9 @@
 from stoatgw.emulator.world.events import EventKind
 from stoatgw.emulator.world.proxy_settings import proxy_settings
 
-RESTART_STOP_TIMEOUT_S = 3.7  # from SIGTERM to the kill, at the soonest where the longest deadline is 3 s or more
-ADMISSION_AFTER_SIGTERM_S = (0.2, 0.4)  # new clients still come for so long
-LAST_BYTES_S = 0.05  # what a stopped proxy sent last may still be on its way to the clients
+RESTART_STOP_TIMEOUT_S = 3.7  # the earliest SIGKILL after SIGTERM where the longest deadline is 3 s or more
+ADMISSION_AFTER_SIGTERM_S = (0.2, 0.4)  # how long after SIGTERM new clients are still sent to the proxy
+LAST_BYTES_S = 0.05  # time for the clients to receive the last data that a stopped proxy sent
 MAX_FAULT_TEXT = 300
 FAULT_EVENTS = (
     "decision_crashed",
@@ -34,14 +34,18 @@
 
 
 class LoopbackError(RuntimeError):
-    """The run could not begin; the message says what did not come up."""
+    """The run could not start; the message names what failed to start."""
 
 
 class ProxyFleet:
-    """The proxies as processes; the load balancer before them is told which admit clients."""
+    """The proxies as processes.
+
+    The client population, which acts as the load balancer in front of the proxies, is notified which proxies admit
+    clients.
+    """
 
     def __init__(self, population: ClientPopulation[Any], addresses: AddressPlan, folder: Path) -> None:
-        """`folder` holds the proxies' configurations and logs."""
+        """Create a fleet without processes; `folder` is for the proxies' configurations and logs."""
         self._population = population
         self._world = population.world
         self._addresses = addresses
@@ -51,19 +55,21 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def is_running(self, proxy: int) -> bool:
-        """Whether a proxy's process runs, and is not being ended on purpose."""
+        """Report whether a proxy's process runs and the driver has not ended it."""
         return proxy not in self._ended_on_purpose and self._processes[proxy].is_running
 
     # The start of the run.
 
     async def start_all(self, known_endpoints: list[dict[str, Any]]) -> None:
-        """Start all proxies and wait until they are ready; the driver keeps the first core to itself.
+        """Start all proxies and wait until they are ready.
+
+        This process is pinned to the first core and the proxies to the others, if there are several.
 
         Args:
-            known_endpoints: For each proxy, the list that it has from the start.
+            known_endpoints: For each proxy, the endpoint list in its configuration.
 
         Raises:
-            LoopbackError: A proxy did not come up.
+            LoopbackError: A proxy did not start.
         """
         cores = sorted(os.sched_getaffinity(0))
         for index, name in enumerate(self._world.proxy_names):
@@ -76,12 +82,12 @@
             process.start()
         for process in self._processes:
             if not await process.wait_ready():
-                raise LoopbackError(f"{process.name} did not come up: {process.read_log_events()[-1:]}")
+                raise LoopbackError(f"{process.name} did not start: {process.read_log_events()[-1:]}")
         for name in self._world.proxy_names:
             self._log_state(name, "up")
 
     def _config(self, index: int, known_endpoints: dict[str, Any]) -> dict[str, Any]:
-        """The contents of LB_CONFIG."""
+        """Return the contents of the file named by LB_CONFIG."""
         world = self._world
         host, port = self._addresses.proxy(index)
         discovery_host, discovery_port = self._addresses.discovery(index)
@@ -100,7 +106,7 @@
         }
 
     def _operators_environment(self) -> dict[str, str]:
-        """Names the operators' own file, if the scenario sets something in it."""
+        """Write the operators' file if the scenario has settings for it; return the variable that names it."""
         operators = self._world.scenario.operators
         if operators == type(operators)():
             return {}
@@ -108,10 +114,10 @@
         file.write_bytes(msgspec.toml.encode({"version": 1, **msgspec.to_builtins(operators)}))
         return {"STOATGW_CONFIG": str(file)}
 
-    # Faults of the scenario.
+    # Faults in the scenario.
 
     def restart(self, proxy: int) -> None:
-        """SIGTERM, the end, and a new start some time later."""
+        """Stop a proxy by SIGTERM and, after it has ended, start it again with a delay."""
         if self.is_running(proxy):
             self._spawn(self._restart(proxy))
 
@@ -161,12 +167,12 @@
         self._spawn(self._start_again(proxy))
 
     def _notice_end(self, proxy: int) -> None:
-        """The load balancer notices a dead proxy, unless it is back by then."""
+        """Stop admission to a dead proxy, as a load balancer that has noticed it, unless it runs again by now."""
         if proxy in self._ended_on_purpose:
             self._stop_admission(proxy)
 
     def freeze(self, proxy: int, freeze_us: int) -> None:
-        """Stop a process by SIGSTOP for a time."""
+        """Freeze a proxy's process by SIGSTOP for `freeze_us`."""
         if not self.is_running(proxy):
             return
         self._log_state(self._world.proxy_names[proxy], "frozen")
@@ -180,7 +186,7 @@
     # The end of the run.
 
     async def stop_all(self) -> None:
-        """Stop all proxies, and read from their logs what they still held and what went wrong inside."""
+        """Stop all proxies, and read leaked requests and internal faults from their logs."""
         for process in self._processes:
             self._check_memory(process)
         for index, process in enumerate(self._processes):
@@ -208,12 +214,12 @@
                 self._world.log(EventKind.REQUESTS_LEAKED, process.name, number=leaked)
 
     def close(self) -> None:
-        """Kill what still runs."""
+        """Kill all processes that still run."""
         for process in self._processes:
             process.close()
 
     def cancel_tasks(self) -> None:
-        """Cancel restarts under way."""
+        """Cancel the restarts in progress."""
         for task in self._tasks:
             task.cancel()
 
--- a/stoatgw/emulator/loopback/run_state.py
+++ b/stoatgw/emulator/loopback/run_state.py
@@ -25,7 +25,7 @@
     group: int
 
     def matches_request(self, line: bytes) -> bool:
-        """Report whether a line equals this request, apart from the deadline, which the proxy may shorten."""
+        """Report whether a line equals this request, apart from the deadline: a proxy sends the time that remains."""
 
     def next_attempt(self) -> int:
         """Count a new attempt and return its number, starting at 0."""
--- a/stoatgw/emulator/loopback/server_connection.py
+++ b/stoatgw/emulator/loopback/server_connection.py
@@ -20,7 +20,7 @@
         attempt: The number of the attempt within the request, from 0.
         is_in_flight: Whether the attempt was sent and is neither established nor ended.
         is_established: Whether the session is established.
-        is_unresponsive: Whether messages are neither received nor answered, as over a partitioned network.
+        is_unresponsive: Whether messages are ignored and answers withheld, as if the network dropped them.
         end_reason: Why the server ended the connection, or empty.
         established_us: When the session was established.
         pending_answers: Answers to messages that are not sent yet, oldest first.
