--- a/stoatgw/emulator/loopback/maintenance/child_process.py
+++ b/stoatgw/emulator/loopback/maintenance/child_process.py
@@ -1,4 +1,4 @@
-"""A child process of this program's modules, and the log events that it writes."""
+"""Child processes that run this program's modules, and the log events that they write."""
 
 from __future__ import annotations
 
@@ -18,23 +18,29 @@
 
 
 class ChildProcess:
-    """A Python module run as a process, again and again if asked to.
+    """A Python module that runs as a child process and can be started several times.
 
     Attributes:
-        events: All log events of its processes so far.
+        events: The log events of all its processes so far.
     """
 
     def __init__(self, arguments: list[str], environment: dict[str, str], *, has_full_disk: bool = False) -> None:
-        """Run `python -m` with `arguments`; with a full disk every write to a file fails in it."""
+        """Prepare to run `python -m` with `arguments`; no process is started yet.
+
+        Args:
+            arguments: The module and its arguments.
+            environment: Variables to set or override.
+            has_full_disk: Whether all writes to files fail in the process.
+        """
         self._arguments = arguments
         self._environment = environment
         self._has_full_disk = has_full_disk
         self.events: list[dict[str, Any]] = []
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: asyncio.Task[None] | None = None
+        self._reader: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start a process, and wait until it is ready or has ended."""
+        """Start a process, and wait until it logs that it is ready, or ends."""
         inherited = {name: value for name, value in os.environ.items() if not name.startswith(("LB_", "STOATGW_"))}
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -47,7 +53,7 @@
         )
         assert self._process.stdout is not None
         ready = asyncio.Event()
-        self._reading = asyncio.create_task(self._read_events(self._process.stdout, ready))
+        self._reader = asyncio.create_task(self._read_events(self._process.stdout, ready))
         await ready.wait()
 
     async def _read_events(self, output: asyncio.StreamReader, ready: asyncio.Event) -> None:
@@ -60,27 +66,27 @@
 
     @property
     def is_running(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process runs."""
         return self._process is not None and self._process.returncode is None
 
     async def end(self, number: signal.Signals) -> None:
-        """Signal the process, and wait for its end."""
+        """Send a signal to the process if it runs, and wait until it has ended."""
         if self._process is not None and self.is_running:
             self._process.send_signal(number)
             await self._process.wait()
-        if self._reading is not None:
-            await self._reading
+        if self._reader is not None:
+            await self._reader
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Signal the process, if it runs."""
+        """Send a signal to the process if it runs."""
         if self._process is not None and self.is_running:
             self._process.send_signal(number)
 
     def events_named(self, name: str) -> list[dict[str, Any]]:
-        """The log events of one name, in order."""
+        """Return the log events with a name, in order."""
         return [event for event in self.events if event.get("event") == name]
 
 
 def _forbid_file_writes() -> None:
-    """Every write to a file fails from now on, in the child; its output is a pipe."""
+    """Make all further writes to files fail in the calling process, the child; its standard output is a pipe."""
     resource.setrlimit(resource.RLIMIT_FSIZE, (0, 0))
--- a/stoatgw/emulator/loopback/maintenance/clients.py
+++ b/stoatgw/emulator/loopback/maintenance/clients.py
@@ -1,4 +1,4 @@
-"""Clients that come again and again, and what they observed."""
+"""Clients that open one session after another, and count what they observe."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True)
 class ClientTally:
-    """What clients observed.
+    """Counts of what the clients of a run observed.
 
     Attributes:
-        answers: First answers, by their first word.
-        lost: Requests without an answer, by a proxy that nobody killed.
+        answers: Answers to requests, by their first word.
+        lost: Requests without an answer, except at proxies in `LoopbackClients.killed_proxies`.
         migrated: Sessions that were ended by MOVE.
-        cut_off: Sessions that ended without a last line.
+        cut_off: Sessions whose connection ended without MOVE or another last line.
     """
 
     answers: Counter[str] = field(default_factory=Counter)
@@ -30,11 +30,11 @@
 
 
 class LoopbackClients:
-    """Clients of all proxies of a run.
+    """The clients of a run, which use all its proxies.
 
     Attributes:
-        tally: What they observed.
-        killed_proxies: Proxies, by index, whose clients get no answer by the run's own doing.
+        tally: What they have observed.
+        killed_proxies: Indexes of the proxies that the run has killed or frozen: missing answers there are expected.
     """
 
     def __init__(self, host: str, ports: list[int]) -> None:
@@ -44,7 +44,7 @@
         self.killed_proxies: set[int] = set()
 
     async def run_client(self, number: int) -> None:
-        """One client: opens a session at each proxy in turn, until cancelled."""
+        """Run one client, which opens a session at each proxy in turn until it is cancelled."""
         attempt = number
         while True:
             index = attempt % len(self._ports)
@@ -75,7 +75,7 @@
             await self._send_messages(reader, writer)
 
     async def _send_messages(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send a line now and then until the session ends."""
+        """Send a line at an interval until the session ends."""
         while True:
             writer.write(b"hello\r\n")
             line = await reader.readline()
--- a/stoatgw/emulator/loopback/maintenance/proxy_config.py
+++ b/stoatgw/emulator/loopback/maintenance/proxy_config.py
@@ -20,13 +20,13 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ProxyFleetConfig:
-    """What the proxies of a run share.
+    """The settings that the proxies of a run share.
 
     Attributes:
-        folder: Where their files are written.
-        membership: The engine's settings; each proxy has an endpoint of its own instead of the one in here.
-        plan: The plan.
-        sharing: Shared health checks, None for none.
+        folder: Where the proxies' files are written.
+        membership: The membership settings, apart from the engine's endpoint, which differs between proxies.
+        plan: The maintenance plan.
+        sharing: The settings of shared health checks; None if each proxy does its own.
         listen: The proxies' addresses, by index.
         discovery: The discovery server's address.
     """
@@ -39,14 +39,24 @@
     discovery: str
 
     def make_proxy(self, index: int, endpoint: str, *, has_full_disk: bool) -> ChildProcess:
-        """Write a proxy's files; its process is not started yet."""
+        """Write a proxy's configuration files and return its process, which is not started yet.
+
+        Args:
+            index: The proxy's index.
+            endpoint: The engine's address for this proxy.
+            has_full_disk: Whether all writes to files fail in the process.
+        """
         temporary = self.folder / f"tmp-{index}"
         temporary.mkdir()
-        operators = self.folder / f"own-{index}.toml"
-        operators.write_bytes(msgspec.toml.encode(self._operator_settings(endpoint)))
-        deployment = self.folder / f"n{index}.json"
-        deployment.write_text(json.dumps(self._deployment_settings(index)))
-        environment = {"LB_CONFIG": str(deployment), "STOATGW_CONFIG": str(operators), "TMPDIR": str(temporary)}
+        operator_file = self.folder / f"own-{index}.toml"
+        operator_file.write_bytes(msgspec.toml.encode(self._operator_settings(endpoint)))
+        deployment_file = self.folder / f"n{index}.json"
+        deployment_file.write_text(json.dumps(self._deployment_settings(index)))
+        environment = {
+            "LB_CONFIG": str(deployment_file),
+            "STOATGW_CONFIG": str(operator_file),
+            "TMPDIR": str(temporary),
+        }
         return ChildProcess(["stoatgw"], environment, has_full_disk=has_full_disk)
 
     def _operator_settings(self, endpoint: str) -> dict[str, Any]:
--- a/stoatgw/emulator/loopback/maintenance/run.py
+++ b/stoatgw/emulator/loopback/maintenance/run.py
@@ -1,4 +1,4 @@
-"""All parts of a rolling maintenance on loopback together, the staff who work on machines, and faults."""
+"""A rolling maintenance on loopback, with simulated operators who restart machines, and with faults."""
 
 from __future__ import annotations
 
@@ -24,24 +24,29 @@
 from stoatgw.membership import etcd_api
 from stoatgw.membership.client import CallFailure, CoordinationClient
 
-PROXIES = 3
+PROXY_COUNT = 3
 SERVER_DOWNTIME_S = 0.2
 POLL_INTERVAL_S = 0.03
-STAFF_INTERVAL_S = 0.05
+OPERATOR_POLL_INTERVAL_S = 0.05
 CALL_TIMEOUT_S = 1.0
 
 
 class MaintenanceRun:
-    """A fleet and its engine, running within `async with`.
+    """A fleet of proxies and its coordination engine; they run within `async with`.
 
     Attributes:
+        folder: Where the run's files are written.
+        plan: The maintenance plan.
+        host: The loopback address of all listeners.
         servers: The session servers.
-        proxies: The proxies' processes.
         links: Each proxy's link to the engine.
+        membership: The proxies' membership settings, with the engine's address.
+        keys: The engine's keys of the maintenance.
         engine: The engine's process.
         clients: The clients, and what they observed.
-        restart_counts: How often staff worked on each machine.
-        max_servers_down: The most session servers that staff worked on at once.
+        proxies: The proxies' processes.
+        restart_counts: How often operators have restarted each machine.
+        max_servers_down: The largest number of session servers that operators had down at once.
     """
 
     def __init__(
@@ -54,14 +59,23 @@
         full_disks: tuple[int, ...] = (),
         sharing: SharedHealthChecksConfig | None = None,
     ) -> None:
-        """Make the parts; `full_disks` are the proxies, by index, for which every write to a file fails."""
+        """Prepare a run; its processes and servers start on entry.
+
+        Args:
+            folder: Where the run's files are written.
+            plan: The maintenance plan.
+            servers: The number of session servers.
+            clients: The number of clients.
+            full_disks: Indexes of the proxies in which all writes to files fail.
+            sharing: The settings of shared health checks; None if each proxy does its own.
+        """
         self.folder = folder
         self.plan = plan
         self.host = unique_host()
         self.servers = [SessionServer(self.host, f"s-{index}", ZONES[index % len(ZONES)]) for index in range(servers)]
         self._discovery = DiscoveryServer(self.host, self.servers)
         self._engine_port = free_port(self.host)
-        self.links = [EngineLink(self.host, self._engine_port) for _ in range(PROXIES)]
+        self.links = [EngineLink(self.host, self._engine_port) for _ in range(PROXY_COUNT)]
         self.membership = MembershipConfig(
             endpoints=(f"{self.host}:{self._engine_port}",), lease_ttl_s=2, poll_interval_ms=100, call_timeout_ms=250
         )
@@ -101,7 +115,7 @@
         self._listeners = [await self._discovery.start(), *[await link.start() for link in self.links]]
         await self.engine.start()
         await asyncio.gather(*(proxy.start() for proxy in self.proxies))
-        self._start_task(self._run_staff())
+        self._start_task(self._run_operators())
         for number in range(self._client_count):
             self._start_task(self.clients.run_client(number))
         return self
@@ -128,13 +142,13 @@
             "--data": str(self.folder / "engine"),
             "--history": str(self._history),
         }
-        arguments = [part for option in options.items() for part in option]
+        arguments = [argument for option in options.items() for argument in option]
         return ChildProcess(["stoatgw.emulator.engine.server", *arguments], {}, has_full_disk=has_full_disk)
 
     # Faults.
 
     async def restart_engine(self, *, has_full_disk: bool = False, loses_data: bool = False) -> None:
-        """Kill the engine and start it anew from its file, or from nothing."""
+        """Kill the engine and start it again, with its stored data or without."""
         await self.engine.end(signal.SIGKILL)
         if loses_data:
             (self.folder / "engine").unlink(missing_ok=True)
@@ -142,25 +156,25 @@
         await self.engine.start()
 
     async def lose_responses(self, count: int) -> None:
-        """The engine carries the next transactions out, and does not respond to them."""
+        """Make the engine execute its next `count` transactions without responding to them."""
         await self._client.call("/stand-in/faults", {"lose": count})
 
     async def kill_proxy(self, index: int) -> None:
-        """Kill a proxy for good."""
+        """Kill a proxy, which is not started again."""
         self.clients.killed_proxies.add(index)
         await self.proxies[index].end(signal.SIGKILL)
 
-    # What the engine holds, read past the links.
+    # The engine's contents, read from it directly and not over the links.
 
     async def read_snapshot(self) -> StoreSnapshot | None:
-        """A snapshot of the engine, None if it does not respond."""
+        """Return a snapshot of the engine's contents, or None if it does not respond."""
         response = await self._client.call(etcd_api.RANGE_PATH, etcd_api.prefix_range(self.keys.prefix))
         if isinstance(response, CallFailure):
             return None
         return read_store_snapshot(self.keys, etcd_api.parse_range(response))
 
     async def wait_for(self, condition: Callable[[StoreSnapshot], bool]) -> StoreSnapshot:
-        """The first snapshot for which a condition holds."""
+        """Wait until a condition holds, and return the snapshot for which it does."""
         while True:
             snapshot = await self.read_snapshot()
             if snapshot is not None and condition(snapshot):
@@ -168,27 +182,27 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_until_finished(self) -> RolloutState:
-        """The rollout state once it is finished."""
-        snapshot = await self.wait_for(lambda found: found.rollout is not None and found.rollout.is_finished)
+        """Wait until the rollout is finished, and return its state."""
+        snapshot = await self.wait_for(lambda latest: latest.rollout is not None and latest.rollout.is_finished)
         assert snapshot.rollout is not None
         return snapshot.rollout
 
     def leader_index(self, snapshot: StoreSnapshot) -> int:
-        """The index of the proxy that leads, or -1."""
+        """Return the index of the proxy that is the leader, or -1 if none is."""
         if not snapshot.leader:
             return -1
         name, _, _ = snapshot.leader.partition("-")
         return int(name.removeprefix("n"))
 
     def rollout_history(self) -> list[RolloutState]:
-        """Every rollout state that the engine has ever held, in order."""
+        """Return every rollout state that the engine has stored, in order."""
         rows = [json.loads(line) for line in self._history.read_bytes().splitlines()]
         return [decode(value.encode()) for _, key, value in rows if key == self.keys.rollout]
 
-    # Staff.
+    # Operators.
 
-    async def _run_staff(self) -> None:
-        """Restart each machine once it is evacuated, as people or their scripts would."""
+    async def _run_operators(self) -> None:
+        """Restart each machine once it is evacuated, as operators or their scripts would."""
         started: set[str] = set()
         while True:
             snapshot = await self.read_snapshot()
@@ -196,10 +210,10 @@
             for name, step in steps.items():
                 if step.state is StepState.OUT_OF_SERVICE and step.is_evacuated and name not in started:
                     started.add(name)
-                    self._start_task(self._work_on(name))
-            await asyncio.sleep(STAFF_INTERVAL_S)
+                    self._start_task(self._restart_machine(name))
+            await asyncio.sleep(OPERATOR_POLL_INTERVAL_S)
 
-    async def _work_on(self, name: str) -> None:
+    async def _restart_machine(self, name: str) -> None:
         self.restart_counts[name] += 1
         if name.startswith(PROXY_PREFIX):
             proxy = self.proxies[int(name.removeprefix(PROXY_PREFIX + "n"))]
--- a/stoatgw/emulator/loopback/maintenance/substitutes.py
+++ b/stoatgw/emulator/loopback/maintenance/substitutes.py
@@ -1,4 +1,4 @@
-"""What stands in for the proxies' surroundings, in this process: session servers, discovery, links to the engine."""
+"""Substitutes for the services that the proxies use, in this process: session servers, discovery, engine links."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 class EngineLink:
     """Forwards one proxy's connections to the engine.
 
-    While it is cut no bytes pass: open connections stay open, and new ones are accepted.
+    While it is cut it forwards no data, but keeps connections open and accepts new ones.
+
+    Attributes:
+        port: The port at which the proxy connects.
     """
 
     def __init__(self, host: str, engine_port: int) -> None:
@@ -28,15 +31,15 @@
         self.port = free_port(host)
 
     async def start(self) -> asyncio.Server:
-        """Listen; whoever calls closes the server."""
+        """Listen, and return the server, which the caller closes."""
         return await asyncio.start_server(self._forward_connection, self._host, self.port)
 
     def cut(self) -> None:
-        """Let no bytes pass."""
+        """Stop forwarding data."""
         self._is_connected.clear()
 
     def restore(self) -> None:
-        """Let bytes pass again, also those that were held back."""
+        """Forward data again, including any received while the link was cut."""
         self._is_connected.set()
 
     async def _forward_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -55,13 +58,17 @@
 
 
 class SessionServer:
-    """Answers UP, PONG and load, echoes lines; goes down and comes back when staff work on it.
+    """A session server that accepts all sessions and echoes their lines, answers health checks, and can be restarted.
 
     Attributes:
-        start_ms: When it started last, in Unix time.
-        is_up: Whether it serves.
-        sessions: The sessions that it has now.
-        health_checks: How many it has answered.
+        host: Its address.
+        name: Its instance id.
+        zone: Its zone.
+        port: Its port.
+        start_ms: When it was last restarted, in Unix time; 0 before.
+        is_up: Whether it listens.
+        sessions: The connections of its current sessions.
+        health_checks: The number of health checks that it has answered.
     """
 
     def __init__(self, host: str, name: str, zone: str) -> None:
@@ -76,18 +83,18 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Serve."""
+        """Listen, and serve connections."""
         self._server = await asyncio.start_server(self._serve, self.host, self.port)
         self.is_up = True
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError, ValueError):
             while line := await reader.readline():
-                word = line.split(b" ")[0].strip()
-                if word == b"OPEN":
+                verb = line.split(b" ")[0].strip()
+                if verb == b"OPEN":
                     self.sessions.add(writer)
                     writer.write(b"UP 77\r\n")
-                elif word in (b"PING", b"STATS"):
+                elif verb in (b"PING", b"STATS"):
                     self.health_checks += 1
                     count = len(self.sessions)
                     writer.write(b"PONG inflight=%d,x0=%.3f\r\n" % (count, 0.01 * count))
@@ -97,7 +104,7 @@
         writer.close()
 
     async def restart(self, downtime_s: float) -> None:
-        """Go down, and serve again as one that has just started."""
+        """Close all connections and stop to listen; after the downtime listen again, with a new start time."""
         if self._server is not None:
             self._server.close()
         self.is_up = False
@@ -109,7 +116,11 @@
 
 
 class DiscoveryServer:
-    """The watched list of session servers; a line at least every heartbeat interval."""
+    """Serves watches of the endpoint list, with a line at least every heartbeat interval.
+
+    Attributes:
+        port: Its port.
+    """
 
     def __init__(self, host: str, servers: list[SessionServer]) -> None:
         self._host = host
@@ -120,11 +131,11 @@
         self.port = free_port(host)
 
     async def start(self) -> asyncio.Server:
-        """Listen; whoever calls closes the server."""
+        """Listen, and return the server, which the caller closes."""
         return await asyncio.start_server(self._serve, self._host, self.port)
 
     def publish(self) -> None:
-        """The servers have changed: send the list to all who watch."""
+        """Send the list on all watches, after a change of the servers."""
         self._version += 1
         changed = self._changed
         self._changed = asyncio.Event()
