--- a/example/toy_client.py
+++ b/example/toy_client.py
@@ -1,19 +1,20 @@
-"""A toy client: opens a session through the proxy, sends lines, and prints what comes back.
+"""A toy client: opens a session through the proxy, sends lines, and prints the lines that it receives.
 
     python example/toy_client.py [LINE...]
 
-Each argument is sent as a line of the session, then `quit`, upon which the toy server ends the session. Without
-arguments the client stays until the proxy migrates it.
+Each argument is sent as a line of the session, followed by `quit`, which makes the toy server end the session. Without
+arguments the client stays connected until the proxy migrates its session.
 
 The protocol is lines of text. The client sends a request and waits for the answer:
 
     OPEN id key c=class,d=timeout_ms,g=group
 
-    UP ...          the session is established; from now on lines pass both ways
-    BUSY [ms]       rejected; a retry makes sense after so many milliseconds
+    UP ...          the session is established; lines can now be sent in both directions
+    BUSY [ms]       rejected; the client may retry after this delay
     ERR reason      failed, or the request is malformed
 
-An established session ends with `BYE` (it is over) or with `MOVE` (request it anew: another server takes it on).
+An established session ends with `BYE` (it is finished) or with `MOVE` (the client should request it again, and it is
+placed on another server).
 """
 
 from __future__ import annotations
--- a/example/toy_server.py
+++ b/example/toy_server.py
@@ -1,17 +1,17 @@
-"""Toy session servers and a toy discovery, to try the proxy with.
+"""Toy session servers and a toy discovery service, to try the proxy with.
 
     python example/toy_server.py [SERVERS]
 
-starts so many session servers (two by default) on 127.0.0.1:9101 and up, and discovery on 127.0.0.1:9100.
+starts SERVERS session servers (two by default) on 127.0.0.1:9101 and up, and discovery on 127.0.0.1:9100.
 
 A session server answers the first line of a connection:
 
-    OPEN ...        UP name, then each line comes back; `quit` ends the session with BYE
+    OPEN ...        UP name, then each line is echoed; `quit` ends the session with BYE
     STATS           PONG with the server's load report: a health check
     PING            PONG
 
 Discovery answers `GET /v1/endpoints?watch=1` with one JSON object, the full list of endpoints, and then keeps the
-response open with an empty line every two seconds: a watch of a list that never changes.
+response open and sends an empty line every two seconds: a watch of a list that never changes.
 """
 
 from __future__ import annotations
@@ -85,12 +85,12 @@
 
 
 class Discovery:
-    """Serves the list of session servers over HTTP."""
+    """Serves the endpoint list over HTTP."""
 
     def __init__(self, servers: list[SessionServer]) -> None:
-        """Fix the list."""
+        """Encode the list, which never changes."""
         endpoints = [server.to_endpoint() for server in servers]
-        self._page = json.dumps({"generation": 1, "reset": True, "instances": endpoints}).encode()
+        self._endpoint_update = json.dumps({"generation": 1, "reset": True, "instances": endpoints}).encode()
 
     async def start(self) -> None:
         """Listen on discovery's port."""
@@ -103,13 +103,20 @@
             if b"watch=1" in request_line:
                 await self._stream(writer)
             else:
-                writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(self._page), self._page))
+                writer.write(
+                    b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
+                    % (len(self._endpoint_update), self._endpoint_update)
+                )
         writer.close()
 
     async def _stream(self, writer: asyncio.StreamWriter) -> None:
-        """Send the list as the first chunk of a response without end, then empty lines. Raises ConnectionError."""
+        """Send the list as the first chunk of an endless response, then empty lines.
+
+        Raises:
+            ConnectionError: The client has disconnected.
+        """
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        chunk = self._page + b"\n"
+        chunk = self._endpoint_update + b"\n"
         while True:
             writer.write(b"%x\r\n%s\r\n" % (len(chunk), chunk))
             await writer.drain()
--- a/stoatgw/emulator/loopback/discovery.py
+++ b/stoatgw/emulator/loopback/discovery.py
@@ -56,12 +56,14 @@
 
     def snapshot(self) -> dict[str, Any]:
         """Return the full list, as published to the proxy so far."""
-        return self._page(list(self._world.discovery.known_endpoints[self._proxy].values()), is_snapshot=True)
+        return self._endpoint_update(
+            list(self._world.discovery.known_endpoints[self._proxy].values()), is_snapshot=True
+        )
 
     def publish(self, entries: list[EndpointEntry], is_snapshot: bool) -> None:
         """Send entries on all watches."""
         self._generation += 1
-        line = json.dumps(self._page(entries, is_snapshot)).encode() + b"\n"
+        line = json.dumps(self._endpoint_update(entries, is_snapshot)).encode() + b"\n"
         for watch in self._watches:
             watch.write(_chunk(line))
 
@@ -71,7 +73,7 @@
             watch.write(_chunk(b'{"generation":\xff,"inst\n') + _chunk(b'{"generation":7}\n') + b"ffff\r\n{")
             watch.end()
 
-    def _page(self, entries: list[EndpointEntry], is_snapshot: bool) -> dict[str, Any]:
+    def _endpoint_update(self, entries: list[EndpointEntry], is_snapshot: bool) -> dict[str, Any]:
         instances = [self._instance(entry) for entry in entries]
         return {"generation": self._generation, "reset": is_snapshot, "instances": instances}
 
--- a/stoatgw/emulator/loopback/maintenance/clients.py
+++ b/stoatgw/emulator/loopback/maintenance/clients.py
@@ -20,7 +20,7 @@
         answers: Answers to requests, by their first word.
         lost: Requests without an answer, except at proxies in `LoopbackClients.killed_proxies`.
         migrated: Sessions that were ended by MOVE.
-        cut_off: Sessions whose connection ended without MOVE or another last line.
+        cut_off: Sessions whose connection ended without a last line such as MOVE.
     """
 
     answers: Counter[str] = field(default_factory=Counter)
--- a/stoatgw/emulator/loopback/maintenance/proxy_config.py
+++ b/stoatgw/emulator/loopback/maintenance/proxy_config.py
@@ -24,7 +24,7 @@
 
     Attributes:
         folder: Where the proxies' files are written.
-        membership: The membership settings, apart from the engine's endpoint, which differs between proxies.
+        membership: The membership settings; each proxy gets its own address of the engine in place of the one here.
         plan: The maintenance plan.
         sharing: The settings of shared health checks; None if each proxy does its own.
         listen: The proxies' addresses, by index.
--- a/tests/test_maintenance_run.py
+++ b/tests/test_maintenance_run.py
@@ -1,4 +1,4 @@
-"""A rolling maintenance by real processes: three proxies, the engine's emulator, and a fault between them."""
+"""Tests of a rolling maintenance with real processes: three proxies, and a fault of a proxy, its link or the engine."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
 )
 
 
-def test_no_part_of_a_run_is_given_the_port_of_another() -> None:
-    """A proxy whose port is taken ends as it starts, and its run goes on without it."""
+def test_free_ports_of_a_run_are_all_different() -> None:
+    """A proxy whose port is in use ends at its start, and the run would continue without it."""
     host = unique_host()
     ports = [free_port(host) for _ in range(1000)]
     assert len(set(ports)) == len(ports)
 
 
 def is_notified(snapshot: StoreSnapshot) -> bool:
-    """A step is under way, and all proxies know of it."""
+    """Report whether a step is in progress of which all proxies have been notified."""
     rollout = snapshot.rollout
     return rollout is not None and any(rollout.steps[name].is_notified for name in rollout.machines_out_of_service())
 
@@ -60,7 +60,7 @@
     snapshot = await wait_for_leader(run)
     leader = run.leader_index(snapshot)
     run.proxies[leader].send_signal(signal.SIGSTOP)
-    run.clients.killed_proxies.add(leader)  # its clients get no answer for a while
+    run.clients.killed_proxies.add(leader)  # its clients get no answers while it is frozen
     await run.wait_for(lambda after: after.fencing_token > snapshot.fencing_token)
     run.proxies[leader].send_signal(signal.SIGCONT)
 
@@ -112,13 +112,15 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
-def test_a_maintenance_completes_despite(fault: Fault, tmp_path: Path) -> None:
+def test_a_maintenance_completes_despite_a_fault(fault: Fault, tmp_path: Path) -> None:
+    """After any fault of a proxy, its link or the engine, each machine is still restarted once and within bounds."""
+
     async def test(run: MaintenanceRun) -> None:
         await fault(run)
         rollout = await run.wait_until_finished()
         assert_run_kept_bounds(run)
         assert [step.state for step in rollout.steps.values()] == [StepState.DONE] * 4
-        # By those who did the work, whatever the state says: each machine once, never three at a time.
+        # As the operators saw it, not as the stored state has it: each machine was restarted once, never three at once.
         assert run.restart_counts == Counter(PLAN.machines)
         assert run.max_servers_down <= PLAN.max_unavailable_servers
         assert run.clients.tally.lost == 0
@@ -127,7 +129,8 @@
     run_maintenance(tmp_path, PLAN, test)
 
 
-def test_a_proxy_is_drained_replaced_and_serves_again_and_one_with_a_full_disk_takes_part(tmp_path: Path) -> None:
+def test_proxies_are_drained_and_restarted_while_another_has_a_full_disk(tmp_path: Path) -> None:
+    """Proxies are machines of a plan too; one that cannot write its state file still takes part in the rollout."""
     plan = MaintenancePlan(
         name="p",
         machines=("proxy/n1", "s-0", "proxy/n2"),
@@ -142,7 +145,7 @@
         assert [step.state for step in rollout.steps.values()] == [StepState.DONE] * 3
         assert run.restart_counts == Counter(plan.machines)
         assert run.clients.tally.lost == 0
-        # A lasting condition is logged once.
+        # A condition that persists is logged once.
         assert len(run.proxies[0].events_named("maintenance_state_file_write_failed")) == 1
         assert run.proxies[1].events_named("drain_started")
         assert len(run.proxies[1].events_named("proxy_stopped")) == 1
@@ -150,8 +153,8 @@
     run_maintenance(tmp_path, plan, test, full_disks=(0,))
 
 
-async def run_command(run: MaintenanceRun, word: str) -> tuple[int, str]:
-    arguments = ["maintain", word, "--config", str(run.folder / "own-0.toml")]
+async def run_command(run: MaintenanceRun, subcommand: str) -> tuple[int, str]:
+    arguments = ["maintain", subcommand, "--config", str(run.folder / "own-0.toml")]
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -164,8 +167,9 @@
     return process.returncode or 0, (output + errors).decode()
 
 
-def test_an_abort_by_command_brings_all_back_and_the_status_shows_it(tmp_path: Path) -> None:
-    # Machines stay out for longer than the test takes: the abort never comes after the end, however busy the host is.
+def test_the_abort_command_releases_all_machines_and_the_status_command_shows_it(tmp_path: Path) -> None:
+    # Machines stay out of service for longer than the test takes, so that even on a busy host the rollout cannot finish
+    # before the abort.
     plan = replace(PLAN, completion="empty", min_evacuated_s=50.0)
 
     async def test(run: MaintenanceRun) -> None:
@@ -176,8 +180,8 @@
         assert status == 0
         assert printed.startswith("aborted; ")
         snapshot = await run.wait_for(
-            lambda found: (
-                found.rollout is not None and found.rollout.is_aborted and not found.rollout.machines_out_of_service()
+            lambda latest: (
+                latest.rollout is not None and latest.rollout.is_aborted and not latest.rollout.machines_out_of_service()
             )
         )
         assert snapshot.rollout is not None
@@ -197,27 +201,28 @@
     run_maintenance(tmp_path, plan, test)
 
 
-def has_stopped(run: MaintenanceRun, index: int) -> bool:
-    """Whether a proxy has logged that the engine lost its state."""
+def has_halted(run: MaintenanceRun, index: int) -> bool:
+    """Report whether a proxy has logged that the engine lost its data."""
     proxy = run.proxies[index]
     return bool(
         proxy.events_named("maintenance_rollout_halted") or proxy.events_named("maintenance_stale_revision_detected")
     )
 
 
-def test_an_engine_that_lost_everything_halts_it_and_nothing_is_done_again(tmp_path: Path) -> None:
+def test_an_engine_that_lost_its_data_halts_the_rollout_and_no_machine_is_restarted_twice(tmp_path: Path) -> None:
     async def test(run: MaintenanceRun) -> None:
         await run.wait_for(is_notified)
         await run.wait_for(
-            lambda found: (
-                found.rollout is not None and any(step.state is StepState.DONE for step in found.rollout.steps.values())
+            lambda latest: (
+                latest.rollout is not None
+                and any(step.state is StepState.DONE for step in latest.rollout.steps.values())
             )
         )
         await run.restart_engine(loses_data=True)
-        while not all(has_stopped(run, index) for index in range(len(run.proxies))):
+        while not all(has_halted(run, index) for index in range(len(run.proxies))):
             await asyncio.sleep(0.05)
-        await run.wait_for(lambda found: len(found.members) == 3)
-        await asyncio.sleep(2 * run.membership.lease_ttl_s)  # long enough for a new one to have begun
+        await run.wait_for(lambda latest: len(latest.members) == 3)
+        await asyncio.sleep(2 * run.membership.lease_ttl_s)  # long enough that a new rollout would have started
         snapshot = await run.read_snapshot()
         assert snapshot is not None
         assert snapshot.rollout is None
