--- a/stoatgw/emulator/loopback/clients.py
+++ b/stoatgw/emulator/loopback/clients.py
@@ -34,7 +34,7 @@
         """Handle the end of the connection; `reason` is moved or broken."""
 
     def is_running(self, proxy: int) -> bool:
-        """Report whether a proxy's process runs and the driver has not ended it."""
+        """Return whether a proxy's process runs and the driver has not ended it."""
 
 
 class MessageStream:
@@ -160,7 +160,7 @@
         return f"OPEN {self.name} {key:016x} {','.join(fields)}".encode()
 
     def matches_request(self, line: bytes) -> bool:
-        """Report whether a line equals this request, apart from the deadline: a proxy sends the time that remains."""
+        """Return whether a line equals this request, apart from the deadline: a proxy sends the time that remains."""
         return _without_deadline(line) == _without_deadline(self._request)
 
     def next_attempt(self) -> int:
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -143,7 +143,7 @@
     # Clients: see ClientPopulation and SessionHost.
 
     def is_running(self, proxy: int) -> bool:
-        """Report whether a proxy's process runs and the driver has not ended it."""
+        """Return whether a proxy's process runs and the driver has not ended it."""
         return self._proxies.is_running(proxy)
 
     def open_session(self, index: int, proxy: int) -> ClientConnection | None:
--- a/stoatgw/emulator/loopback/proxy_fleet.py
+++ b/stoatgw/emulator/loopback/proxy_fleet.py
@@ -55,7 +55,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def is_running(self, proxy: int) -> bool:
-        """Report whether a proxy's process runs and the driver has not ended it."""
+        """Return whether a proxy's process runs and the driver has not ended it."""
         return proxy not in self._ended_on_purpose and self._processes[proxy].is_running
 
     # The start of the run.
--- a/stoatgw/emulator/loopback/run_state.py
+++ b/stoatgw/emulator/loopback/run_state.py
@@ -25,7 +25,7 @@
     group: int
 
     def matches_request(self, line: bytes) -> bool:
-        """Report whether a line equals this request, apart from the deadline: a proxy sends the time that remains."""
+        """Return whether a line equals this request, apart from the deadline: a proxy sends the time that remains."""
 
     def next_attempt(self) -> int:
         """Count a new attempt and return its number, starting at 0."""
@@ -45,7 +45,7 @@
     end_reason: str
 
     def has_peer_ended(self) -> bool:
-        """Report whether the proxy has closed its side, or the connection is closed."""
+        """Return whether the proxy has closed its side, or the connection is closed."""
 
     def end_attempt(self, outcome: str) -> None:
         """Record the outcome of the attempt, if it is still in flight."""
@@ -89,7 +89,7 @@
                 connection.end_attempt("closed by the proxy")
 
     def has_server_ended(self, request_id: str) -> bool:
-        """Report whether a session's server has ended it or has died."""
+        """Return whether a session's server has ended it or has died."""
         return request_id in self.ended_by_server or any(
             connection.request_id == request_id and connection.end_reason for connection in self.open_connections
         )
--- a/stoatgw/emulator/loopback/server_connection.py
+++ b/stoatgw/emulator/loopback/server_connection.py
@@ -47,7 +47,7 @@
         self._task = task
 
     def has_peer_ended(self) -> bool:
-        """Report whether the proxy has closed its side, or the connection is closed."""
+        """Return whether the proxy has closed its side, or the connection is closed."""
         return self.lines.is_closed or self.lines.has_peer_ended()
 
     def end_attempt(self, outcome: str) -> None:
--- a/stoatgw/emulator/loopback/wire.py
+++ b/stoatgw/emulator/loopback/wire.py
@@ -62,7 +62,7 @@
             self._received += data
 
     def has_peer_ended(self) -> bool:
-        """Report whether the peer has closed its side and no received data is unread."""
+        """Return whether the peer has closed its side and no received data is unread."""
         try:
             return self._sock.recv(1, socket.MSG_PEEK) == b""
         except BlockingIOError:
--- a/tests/test_maintenance_run.py
+++ b/tests/test_maintenance_run.py
@@ -41,7 +41,7 @@
 
 
 def is_notified(snapshot: StoreSnapshot) -> bool:
-    """Report whether a step is in progress of which all proxies have been notified."""
+    """Return whether a step is in progress of which all proxies have been notified."""
     rollout = snapshot.rollout
     return rollout is not None and any(rollout.steps[name].is_notified for name in rollout.machines_out_of_service())
 
@@ -181,7 +181,9 @@
         assert printed.startswith("aborted; ")
         snapshot = await run.wait_for(
             lambda latest: (
-                latest.rollout is not None and latest.rollout.is_aborted and not latest.rollout.machines_out_of_service()
+                latest.rollout is not None
+                and latest.rollout.is_aborted
+                and not latest.rollout.machines_out_of_service()
             )
         )
         assert snapshot.rollout is not None
@@ -202,7 +204,7 @@
 
 
 def has_halted(run: MaintenanceRun, index: int) -> bool:
-    """Report whether a proxy has logged that the engine lost its data."""
+    """Return whether a proxy has logged that the engine lost its data."""
     proxy = run.proxies[index]
     return bool(
         proxy.events_named("maintenance_rollout_halted") or proxy.events_named("maintenance_stale_revision_detected")
