--- a/stoatgw/emulator/loopback/clock.py
+++ b/stoatgw/emulator/loopback/clock.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 LATE_US = 30_000  # a callback that runs more than this after its due time counts as late
-MAX_LATE_SHARE = 0.01  # a run with a larger share of late callbacks is invalid
-MAX_LATENESS_US = 400_000  # a run with a single callback later than this is invalid
+MAX_LATE_SHARE = 0.01  # a run with a larger share of late callbacks is void
+MAX_LATENESS_US = 400_000  # a run with a single callback later than this is void
 MAX_FAILURE_TEXT = 200
 
 
@@ -18,7 +18,7 @@
     Its time is Unix time, read once and advanced by the monotonic clock.
 
     Attributes:
-        failures: The exceptions that callbacks raised; any makes the run invalid.
+        failures: The exceptions that callbacks raised; any makes the run void.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -62,7 +62,7 @@
         self._is_closed = True
 
     def invalid_reason(self) -> str:
-        """Return why the run is invalid, or an empty text."""
+        """Return why the run is void, or an empty text."""
         if self.failures:
             return f"a callback of the simulation failed: {self.failures[0][:MAX_FAILURE_TEXT]}"
         if self._max_lateness_us > MAX_LATENESS_US:
--- a/stoatgw/emulator/loopback/driver.py
+++ b/stoatgw/emulator/loopback/driver.py
@@ -62,7 +62,7 @@
     # The run.
 
     async def run(self) -> str:
-        """Run the scenario; return why the run is invalid, or an empty text.
+        """Run the scenario; return why the run is void, or an empty text.
 
         Raises:
             LoopbackError: The run could not start.
@@ -248,7 +248,7 @@
         observe_start: Called with the world as the run starts; its result becomes `utilization_samples`.
 
     Returns:
-        The driver, and why the run is invalid, or an empty text.
+        The driver, and why the run is void, or an empty text.
     """
     affinity = os.sched_getaffinity(0)
 
